--- a/tests/policy/recorded_test.cpp
+++ b/tests/policy/recorded_test.cpp
@@ -3,15 +3,23 @@
 // since nothing here sets one. After a change that is meant, `recorded_test --record FILE` writes the file
 // anew.
 //
-// Not driven: live weights, whose power function may differ in the last bit between machines.
+// Of a log line only its kind counts, not its text. Besides the actions, a second digest covers what the
+// queries answer after every event. Each scenario names the counts that show that it exercises its subject,
+// and a test holds them to a floor.
+//
+// Live weights: the module takes a power of -1/2 of (largest weight of the kind / weight told) / 1.5. The
+// weights told here make that 4 or 16, so the result is an exact power of two on every machine.
 #include <gtest/gtest.h>
 
 #include <fstream>
 #include <iostream>
 #include <map>
 #include <random>
+#include <set>
 #include <sstream>
 #include <string>
+#include <utility>
+#include <vector>
 
 #include "../driver.hpp"
 
@@ -19,6 +27,8 @@
 namespace {
 
 constexpr int kEvents = 6000;  // of one scenario
+// A subject is exercised if it comes up in one event of a hundred.
+constexpr std::size_t kSubjectFloor = kEvents / 100;
 
 std::string recordFile;  // set by main
 
@@ -28,8 +38,171 @@
   int hosts = 10;
   double failing = 0.05;  // share of the attempts
   int meanGapUs = 3000;   // between events
+
+  // Chances per event of what comes beside the usual traffic. No random number is drawn for a chance of zero.
+  double drainChance = 0;    // a host starts to drain, or comes back if it does
+  double replaceChance = 0;  // a host goes and a new one comes
+  double restartChance = 0;  // a host has a new process
+  double reloadChance = 0;   // configure() with something changed
+  double reachChance = 0;    // onReach for some host
+  double loadChance = 0;     // a live load report changes a host's weight
+
+  double slowShare = 0;  // of the attempts: no answer before `slowTime`
+  Duration slowTime{};
+  bool faultsTold = false;    // results say their Fault and Carrier; some attempts are moot
+  bool exactCounts = false;   // onConnections is told of every change
+  bool hostsBounded = false;  // HostEntry::attemptsMost is 1 or 2
+  bool triesBounded = false;  // Request::attemptsMost is 1 to 3
+  bool hostsChange = true;    // the usual traffic has drains, restarts and replacements
+  bool startedEnds = false;   // an attempt whose answer had started ends its request, however it ends
+
+  std::vector<std::string> subjects{};  // names of the counts that must reach the floor
 };
 
+// The same scenario with two seeds.
+void addTwice(std::vector<Scenario>& all, const Scenario& scenario, std::uint64_t seed) {
+  for (const std::uint64_t s : {seed, seed + 1000}) {
+    all.push_back(scenario);
+    all.back().settings.seed = s;
+    all.back().name += ", seed " + std::to_string(s);
+  }
+}
+
+// A class for each effect and group, with different windows and placements.
+std::vector<ClassSettings> everyClass() {
+  std::vector<ClassSettings> classes;
+  for (const Effect effect : {Effect::retryable, Effect::dedup, Effect::fragile})
+    for (const Group group : {Group::all, Group::zone, Group::cell}) {
+      const std::size_t number = classes.size();
+      ClassSettings c =
+          makeClass("class-" + std::to_string(number), effect, 1 + static_cast<double>(number), group);
+      c.window = milliseconds(200 + 200 * static_cast<int>(number % 4));
+      if (number % 4 == 1) c.zones = {"east"};
+      if (number % 4 == 2) c.kinds = {"std"};
+      if (number == 7) c.zones = {"west", "east"}, c.kinds = {"big"};
+      classes.push_back(c);
+    }
+  classes.push_back(makeClass("nowhere", Effect::retryable, 2));
+  classes.back().kinds.emplace();  // an empty list allows none
+  return classes;
+}
+
+void addMovingHosts(std::vector<Scenario>& all, const Settings& plain) {
+  Scenario turns{"turns while hosts move", plain, 8, 0.1, 5000};
+  for (ClassSettings& c : turns.settings.classes) c.inTurn = true;
+  turns.settings.keyRest = milliseconds(100);
+  turns.drainChance = 0.05;
+  turns.replaceChance = 0.03;
+  turns.subjects = {"waits", "drains", "replacements", "forgets"};
+  addTwice(all, turns, 37);
+
+  Scenario cold{"cold starts", plain, 10, 0.05, 3000};
+  cold.settings.coldTime = seconds(5);
+  cold.settings.coldShare = 0.1;
+  cold.settings.fallMultiple = 2;
+  cold.settings.fallWindow = seconds(1);
+  cold.restartChance = 0.03;
+  cold.subjects = {"restarts", "sends to cold hosts"};
+  addTwice(all, cold, 53);
+
+  Scenario reach{"reach and exact connections", plain, 10, 0.05, 3000};
+  reach.settings.idleClose = milliseconds(300);
+  reach.reachChance = 0.08;
+  reach.exactCounts = true;
+  reach.subjects = {"reach closed", "reach probe", "reach open",
+                    "starts seen",  "probes sent", "connection counts told"};
+  addTwice(all, reach, 43);
+
+  Scenario idle{"idle connections", plain, 40, 0.1, 30000};
+  idle.settings.groupSize = 24;  // so some hosts are not its own, and those lose their connections when idle
+  idle.settings.number = 5;
+  idle.exactCounts = true;
+  idle.subjects = {"closes", "connection counts told"};
+  addTwice(all, idle, 79);
+
+  Scenario load{"live load", plain, 12, 0.05, 3000};
+  load.settings.liveWeights = true;
+  load.hostsChange = false;  // keeps the median host at no load, see the top
+  load.restartChance = 0.01;
+  load.replaceChance = 0.01;
+  load.loadChance = 0.1;
+  load.subjects = {"load told"};
+  addTwice(all, load, 61);
+}
+
+void addRequestsAndAttempts(std::vector<Scenario>& all, const Settings& plain) {
+  Scenario hedged{"hedging and cancel", plain, 12, 0.02, 4000};
+  hedged.settings.parallelTries = true;
+  hedged.slowShare = 0.1;
+  hedged.slowTime = milliseconds(300);
+  hedged.subjects = {"hedges", "cancels"};
+  addTwice(all, hedged, 29);
+
+  Scenario warm{"warm keys alone", plain, 12, 0.05, 3000};
+  warm.settings.warmKeys = true;
+  warm.subjects = {"key returns"};
+  addTwice(all, warm, 31);
+
+  Scenario faults{"faults and carriers", plain, 10, 0.3, 4000};
+  faults.faultsTold = true;
+  faults.subjects = {"faults told", "carriers told", "moot", "retries"};
+  addTwice(all, faults, 47);
+
+  Scenario bounds{"bounds", plain, 6, 0.2, 3000};
+  bounds.settings.inflightMost = 8;
+  bounds.hostsBounded = true;
+  bounds.triesBounded = true;
+  bounds.subjects = {"hosts at their most", "requests at their most", "refused", "events while cutting"};
+  addTwice(all, bounds, 59);
+}
+
+void addClassesAndTenants(std::vector<Scenario>& all, const Settings& plain) {
+  Scenario placed{"every class", plain, 12, 0.4, 4000};
+  placed.settings.classes = everyClass();
+  placed.subjects = {"retries",
+                     "retries of retryable",
+                     "retries of dedup, zone",
+                     "retries of dedup, cell",
+                     "retries of dedup, all",
+                     "refused",
+                     "failed"};
+  addTwice(all, placed, 67);
+
+  Scenario late{"late answers", plain, 4, 0.03, 1200};
+  late.settings.classes[0].lateShare = 0.25;
+  late.settings.classes[0].aimStretch = 2;
+  late.settings.classes[1].lateShare = 0.75;
+  late.settings.classes[2].aimStretch = 0.5;
+  late.slowShare = 0.1;
+  late.slowTime = milliseconds(450);  // past the aim
+  late.subjects = {"late answers", "events while cutting"};
+  addTwice(all, late, 71);
+
+  Scenario quota{"tenants over quota", plain, 8, 0.05, 700};
+  quota.settings.tenants = {{"mill", 5}, {"yard", 100}, {"free", 0}};
+  quota.slowShare = 0.2;  // so the hosts hold enough for a cutoff
+  quota.slowTime = milliseconds(200);
+  quota.settings.overShareWorth = 0.3;
+  quota.settings.retryAfter = true;
+  quota.settings.maxRetryAfter = seconds(1);
+  quota.subjects = {"refused", "events while cutting", "requests over quota"};
+  addTwice(all, quota, 73);
+
+  Scenario reload{"reloads", plain, 10, 0.1, 4000};
+  for (ClassSettings& c : everyClass()) reload.settings.classes.push_back(c);
+  reload.settings.tenants = {{"mill", 20}, {"yard", 0}};
+  reload.startedEnds = true;
+  reload.reloadChance = 0.2;
+  reload.subjects = {"reloads",
+                     "classes swapped",
+                     "classes added",
+                     "classes removed",
+                     "classes changed",
+                     "tenants changed",
+                     "reloads while requests are open"};
+  addTwice(all, reload, 41);
+}
+
 std::vector<Scenario> scenarios() {
   std::vector<Scenario> all;
   Settings plain = makeSettings();
@@ -64,10 +237,17 @@
   late.seed = 23;
   for (ClassSettings& c : late.classes) c.lateShare = 0.5, c.aimStretch = 0.5;
   all.push_back({"crowded", late, 3, 0.03, 700});
+  for (const std::uint64_t seed : {101, 102, 103, 104, 105}) {
+    all.push_back({"plain, seed " + std::to_string(seed), plain});
+    all.back().settings.seed = seed;
+  }
+  addRequestsAndAttempts(all, plain);
+  addMovingHosts(all, plain);
+  addClassesAndTenants(all, plain);
   return all;
 }
 
-// FNV-1a over all that an action says.
+// FNV-1a over all that an action says, but for the text of a log line.
 class Digest {
  public:
   void add(const void* data, std::size_t size) {
@@ -85,7 +265,6 @@
     number(a.attempt);
     number(a.host);
     number(a.span.count());
-    add(a.text.data(), a.text.size());
   }
   std::uint64_t value() const { return value_; }
 
@@ -93,11 +272,20 @@
   std::uint64_t value_ = 0xcbf29ce484222325ULL;
 };
 
+struct OutAttempt {
+  RequestId request;
+  std::uint32_t attempt;
+  HostId host;
+  Time at;
+  Duration limit;
+  Time notBefore;  // a slow one is not answered earlier
+};
+
 // The world around the module: hosts that come, restart, drain and go, attempts that end in any way.
 class Play {
  public:
   explicit Play(const Scenario& s)
-      : scenario_(s), engine_(s.settings.seed * 101), balancer_(s.settings, now_) {
+      : scenario_(s), settings_(s.settings), engine_(s.settings.seed * 101), balancer_(s.settings, now_) {
     for (int i = 0; i < s.hosts; ++i) add();
     tell(ListKind::restored, hosts_);
   }
@@ -105,20 +293,40 @@
   std::string run() {
     for (int i = 0; i < kEvents; ++i) step();
     std::ostringstream text;
-    text << scenario_.name << ": sends " << sends_ << ", refused " << refused_ << ", failed " << failed_
-         << ", digest " << std::hex << digest_.value();
+    text << scenario_.name << ": sends " << count("sends") << ", refused " << count("refused") << ", failed "
+         << count("failed");
+    for (const std::string name : {"hedges", "closes", "cancels", "forgets"})
+      text << ", " << name << " " << count(name);
+    for (const std::string& name : scenario_.subjects)
+      if (!shownAlways(name)) text << ", " << name << " " << count(name);
+    text << ", digest " << std::hex << digest_.value() << ", queries " << queries_.value();
     return text.str();
   }
 
+  std::size_t count(const std::string& name) const {
+    const auto it = counts_.find(name);
+    return it == counts_.end() ? 0 : it->second;
+  }
+
  private:
+  using AttemptName = std::pair<RequestId, std::uint32_t>;
+
+  static bool shownAlways(const std::string& name) {
+    return std::set<std::string>{"sends", "refused", "failed", "hedges", "closes", "cancels", "forgets"}
+               .count(name) > 0;
+  }
+
   // Own draws: std distributions differ between standard libraries.
   std::size_t below(std::size_t n) { return static_cast<std::size_t>(engine_() % n); }
   bool chance(double p) { return static_cast<double>(engine_() >> 11) * 0x1.0p-53 < p; }
+  bool happens(double p) { return p > 0 && chance(p); }  // draws only if it may
 
   void add() {
     HostEntry e = makeHost(next_, next_ % 3 == 0 ? "west" : "east", next_ % 2);
     e.kind = next_ % 4 == 0 ? "big" : "std";
     e.weight = next_ % 4 == 0 ? 2 : 1;
+    if (scenario_.loadChance > 0) e.weight = kNoLoad;
+    if (scenario_.hostsBounded) e.attemptsMost = 1 + next_ % 2;
     e.upSince = chance(0.3) ? now_ - seconds(below(15)) : Time{};
     ++next_;
     hosts_.push_back(e);
@@ -131,92 +339,406 @@
       balancer_.onWake(now_);
       collect();
     }
+    asked_ = 0;
     const std::size_t what = below(1000);
     if (what < 480 || out_.empty()) request();
     else if (what < 970) settle();
-    else if (what < 980 && last_ > 0) balancer_.onClientGone(now_, 1 + below(last_));
-    else if (what < 983) balancer_.onAnswerStarted(now_, out_.back().request, out_.back().attempt);
-    else if (what < 997) change();
-    else if (what < 999) balancer_.onHosts(now_, ListKind::unavailable, {});
+    else if (what < 980 && last_ > 0) leave();
+    else if (what < 983) startAnswer();
+    else if (what < 997) {
+      if (scenario_.hostsChange) change();
+    } else if (what < 999) balancer_.onHosts(now_, ListKind::unavailable, {});
     else tell(ListKind::replace, hosts_);
     collect();
+    beside();
+  }
+
+  // What a scenario has beside the usual traffic.
+  void beside() {
+    if (happens(scenario_.drainChance)) drain(), collect();
+    if (happens(scenario_.replaceChance)) replace(hosts_[below(hosts_.size())]), collect();
+    if (happens(scenario_.restartChance)) restart(), collect();
+    if (happens(scenario_.reloadChance)) reload(), collect();
+    if (happens(scenario_.reachChance)) changeReach(), collect();
+    if (happens(scenario_.loadChance)) reportLoad(), collect();
+    if (balancer_.cutoff() > 0) ++counts_["events while cutting"];
   }
 
+  // --- requests and attempts
+
   void request() {
     Request q;
     q.id = ++last_;
-    q.classIndex = static_cast<std::uint32_t>(below(scenario_.settings.classes.size() + 1));
-    if (!scenario_.settings.tenants.empty())
-      q.tenantIndex = static_cast<std::uint32_t>(below(scenario_.settings.tenants.size()));
+    q.classIndex = static_cast<std::uint32_t>(below(settings_.classes.size() + 1));
+    if (!settings_.tenants.empty())
+      q.tenantIndex = static_cast<std::uint32_t>(below(settings_.tenants.size()));
     q.left = chance(0.8) ? Duration(seconds(1)) : milliseconds(100 + below(900));
     q.cost = chance(0.5) ? Duration{} : milliseconds(1 + below(40));
     q.hasKey = chance(0.6);
     q.key = q.hasKey ? 1 + below(30) : 0;
+    if (scenario_.triesBounded) q.attemptsMost = 1 + static_cast<std::uint32_t>(below(3));
+    requests_[q.id] = q;
+    if (q.classIndex < settings_.classes.size()) open_.insert(q.id);
+    noteQuota(q);
+    asked_ = q.id;
     balancer_.onRequest(now_, q);
   }
 
+  // Whether the tenant has sent more than its quota so far, by the mean of the whole run.
+  void noteQuota(const Request& q) {
+    if (q.tenantIndex >= settings_.tenants.size()) return;
+    const double quota = settings_.tenants[q.tenantIndex].quotaPerSecond;
+    const double passed = std::chrono::duration<double>(now_ - seconds(100)).count();
+    if (quota > 0 && static_cast<double>(++askedBy_[q.tenantIndex]) > quota * (passed + 1))
+      ++counts_["requests over quota"];
+  }
+
+  void leave() {
+    const RequestId id = 1 + below(last_);
+    left_.insert(id);
+    balancer_.onClientGone(now_, id);
+  }
+
+  void startAnswer() {
+    started_.insert({out_.back().request, out_.back().attempt});
+    balancer_.onAnswerStarted(now_, out_.back().request, out_.back().attempt);
+  }
+
   void settle() {
-    const std::size_t i = below(std::min<std::size_t>(out_.size(), 12));  // mostly the older ones
-    const Sent sent = out_[i];
+    std::vector<std::size_t> may;  // end now, by their place among those out
+    for (std::size_t i = 0; i < out_.size(); ++i)
+      if (mayEnd(out_[i])) may.push_back(i);
+    if (may.empty()) return;
+    const std::size_t i = may[below(std::min<std::size_t>(may.size(), 12))];  // mostly the older ones
+    const OutAttempt sent = out_[i];
+    const AttemptName name{sent.request, sent.attempt};
     out_.erase(out_.begin() + static_cast<std::ptrdiff_t>(i));
-    AttemptResult a{sent.request, sent.attempt, sent.host, Outcome::served, now_ - sent.at, false};
-    if (cancelled_.erase({sent.request, sent.attempt}) > 0 && chance(0.7)) a.outcome = Outcome::cancelled;
+    AttemptResult a;
+    a.request = sent.request;
+    a.attempt = sent.attempt;
+    a.host = sent.host;
+    a.taken = now_ - sent.at;
+    if (cancelled_.erase(name) > 0 && chance(0.7)) a.outcome = Outcome::cancelled;
     else if (now_ - sent.at >= sent.limit) a.outcome = Outcome::timeout;
-    else if (chance(scenario_.failing)) {
-      constexpr Outcome kinds[] = {Outcome::error, Outcome::full,  Outcome::full,     Outcome::timeout,
-                                   Outcome::reset, Outcome::error, Outcome::rejected, Outcome::connectFailed};
-      a.outcome = kinds[below(8)];
-    }
+    else if (chance(scenario_.failing)) a.outcome = failure();
+    if (scenario_.faultsTold) tellFault(a);
     a.terminal = a.outcome == Outcome::served && !over_.count(sent.request);
+    if (scenario_.startedEnds && started_.count(name)) a.terminal = true;
     if (a.terminal) over_[sent.request] = true;
+    if (a.outcome == Outcome::served && a.taken > milliseconds(400)) ++counts_["late answers"];
     balancer_.onResult(now_, a);
+    if (a.outcome == Outcome::reset || a.outcome == Outcome::timeout) loseConnection(a.host);
+  }
+
+  bool mayEnd(const OutAttempt& o) const {
+    return now_ >= o.notBefore || now_ - o.at >= o.limit || cancelled_.count({o.request, o.attempt}) > 0;
+  }
+
+  Outcome failure() {
+    if (scenario_.faultsTold) {
+      constexpr Outcome kinds[] = {Outcome::connectFailed, Outcome::connectFailed, Outcome::connectFailed,
+                                   Outcome::reset,         Outcome::error,         Outcome::moot,
+                                   Outcome::full,          Outcome::timeout};
+      return kinds[below(8)];
+    }
+    constexpr Outcome kinds[] = {Outcome::error, Outcome::full,  Outcome::full,     Outcome::timeout,
+                                 Outcome::reset, Outcome::error, Outcome::rejected, Outcome::connectFailed};
+    return kinds[below(8)];
   }
 
+  // Says why it ended so and what carried it, as far as that goes with the outcome.
+  void tellFault(AttemptResult& a) {
+    const Carrier connected = chance(0.4) ? Carrier::fresh : Carrier::reused;
+    switch (a.outcome) {
+      case Outcome::moot: a.carrier = Carrier::none; break;
+      case Outcome::connectFailed: {
+        constexpr Fault faults[] = {Fault::refused,      Fault::dialSilent,  Fault::outOfTime,
+                                    Fault::noDescriptor, Fault::lostInWrite, Fault::withdrawn};
+        a.fault = faults[below(6)];
+        a.carrier = a.fault == Fault::lostInWrite ? connected : Carrier::none;
+        break;
+      }
+      case Outcome::error:
+      case Outcome::reset:
+        if (chance(0.5)) a.fault = Fault::spoilt;
+        [[fallthrough]];
+      default: a.carrier = connected, a.kept = a.outcome != Outcome::reset && chance(0.8);
+    }
+    if (a.outcome == Outcome::moot) ++counts_["moot"];
+    if (a.fault != Fault::unknown) ++counts_["faults told"];
+    ++counts_["carriers told"];
+  }
+
+  // --- hosts
+
   void change() {
     HostEntry& e = hosts_[below(hosts_.size())];
     switch (below(4)) {
       case 0: e.phase = Phase::draining; break;
       case 1: e.phase = Phase::in, e.upSince = now_; break;
       case 2: e.phase = Phase::in; break;
-      default: {
-        HostEntry gone = e;
-        gone.phase = Phase::out;
-        hosts_.erase(hosts_.begin() + (&e - hosts_.data()));
-        add();
-        return tell(ListKind::update, {gone, hosts_.back()});
-      }
+      default: return replace(e);
     }
     tell(ListKind::update, {e});
   }
 
+  void replace(const HostEntry& e) {
+    HostEntry gone = e;
+    gone.phase = Phase::out;
+    hosts_.erase(hosts_.begin() + (&e - hosts_.data()));
+    add();
+    ++counts_["replacements"];
+    tell(ListKind::update, {gone, hosts_.back()});
+  }
+
+  void drain() {
+    HostEntry& e = hosts_[below(hosts_.size())];
+    e.phase = e.phase == Phase::in ? Phase::draining : Phase::in;
+    if (e.phase == Phase::draining) ++counts_["drains"];
+    tell(ListKind::update, {e});
+  }
+
+  void restart() {
+    HostEntry& e = hosts_[below(hosts_.size())];
+    e.upSince = now_;
+    ++counts_["restarts"];
+    tell(ListKind::update, {e});
+  }
+
+  // At most a quarter of the hosts has a load, so the median host has none.
+  void reportLoad() {
+    HostEntry& e = hosts_[below(hosts_.size())];
+    std::size_t loaded = 0;
+    for (const HostEntry& h : hosts_) loaded += h.weight < kNoLoad;
+    if (e.weight < kNoLoad) e.weight = kNoLoad;
+    else if (loaded < hosts_.size() / 4) e.weight = chance(0.5) ? kLoaded : kVeryLoaded;
+    if (e.weight < kNoLoad) ++counts_["load told"];
+    tell(ListKind::update, {e});
+  }
+
   void tell(ListKind kind, const std::vector<HostEntry>& entries) { balancer_.onHosts(now_, kind, entries); }
 
+  void changeReach() {
+    const HostId host = balancer_.findHost(hosts_[below(hosts_.size())].address);
+    const std::size_t what = below(10);
+    Reach reach = Reach::open;
+    Time startedAfter{};
+    if (what < 2) reach = Reach::closed, ++counts_["reach closed"];
+    else if (what < 5) reach = Reach::probe, ++counts_["reach probe"];
+    else if (what < 8) ++counts_["reach open"];
+    else startedAfter = now_ - milliseconds(below(3000)), ++counts_["starts seen"];
+    reach_[host] = reach;
+    balancer_.onReach(now_, host, reach, startedAfter);
+  }
+
+  // --- connections, where their count is told
+
+  void setConnections(HostId host, std::uint32_t open) {
+    if (!scenario_.exactCounts || connections_[host] == open) return;
+    connections_[host] = open;
+    ++counts_["connection counts told"];
+    balancer_.onConnections(host, open);
+  }
+  void openFor(HostId host) {
+    setConnections(host, std::max(connections_[host], balancer_.attemptsOut(host)));
+  }
+  void loseConnection(HostId host) {
+    if (connections_[host] > 0) setConnections(host, connections_[host] - 1);
+  }
+
+  // --- reloads
+
+  // Class indexes that an open request has; there the class must stay as it is.
+  std::set<std::size_t> classesInUse() {
+    std::set<RequestId> withAttempts;
+    for (const OutAttempt& o : out_) withAttempts.insert(o.request);
+    std::erase_if(
+        open_, [&](RequestId id) { return (over_.count(id) || left_.count(id)) && !withAttempts.count(id); });
+    std::set<std::size_t> used;
+    for (const RequestId id : open_) used.insert(requests_[id].classIndex);
+    return used;
+  }
+
+  void reload() {
+    const std::set<std::size_t> used = classesInUse();
+    Settings next = settings_;
+    switch (below(8)) {
+      case 0:
+      case 1: swapClasses(next, used); break;
+      case 2: addClass(next); break;
+      case 3: removeClass(next, used); break;
+      case 4: changeClass(next, used); break;
+      case 5: changeTenants(next); break;
+      case 6:
+        next.retryAfter = !next.retryAfter;
+        next.maxRetryAfter = milliseconds(below(3000));
+        next.cancel = chance(0.7);
+        break;
+      default:
+        next.maxAttempts = 1 + static_cast<std::uint32_t>(below(4));
+        next.parallelTries = chance(0.5);
+        next.warmKeys = chance(0.5);
+        next.keyRest = milliseconds(below(300));
+        next.idleClose = milliseconds(below(2000));
+    }
+    ++counts_["reloads"];
+    if (!used.empty()) ++counts_["reloads while requests are open"];
+    settings_ = next;
+    balancer_.configure(now_, next);
+  }
+
+  void swapClasses(Settings& next, const std::set<std::size_t>& used) {
+    const std::size_t a = below(next.classes.size()), b = below(next.classes.size());
+    if (a == b || used.count(a) || used.count(b)) return;
+    std::swap(next.classes[a], next.classes[b]);
+    ++counts_["classes swapped"];
+  }
+
+  void addClass(Settings& next) {
+    const std::string name = "added-" + std::to_string(count("classes added"));
+    next.classes.push_back(makeClass(name, Effect::retryable, 1 + static_cast<double>(below(9))));
+    ++counts_["classes added"];
+  }
+
+  void removeClass(Settings& next, const std::set<std::size_t>& used) {
+    if (next.classes.size() < 4 || used.count(next.classes.size() - 1)) return;
+    next.classes.pop_back();
+    ++counts_["classes removed"];
+  }
+
+  void changeClass(Settings& next, const std::set<std::size_t>& used) {
+    const std::size_t index = below(next.classes.size());
+    if (used.count(index)) return;
+    ClassSettings& c = next.classes[index];
+    c.worth = 1 + static_cast<double>(below(9));
+    c.effect = chance(0.5) ? Effect::retryable : Effect::fragile;
+    c.inTurn = chance(0.3);
+    c.aim = milliseconds(200 + below(300));
+    ++counts_["classes changed"];
+  }
+
+  void changeTenants(Settings& next) {
+    next.tenants.clear();
+    for (std::size_t i = 0, most = 1 + below(4); i < most; ++i)
+      next.tenants.push_back({"tenant-" + std::to_string(i), static_cast<double>(below(60))});
+    next.overShareWorth = 0.25 * static_cast<double>(below(4));
+    ++counts_["tenants changed"];
+  }
+
+  // --- what the module does and says
+
   void collect() {
-    for (const Action& a : balancer_.actions()) {
+    std::vector<Action> actions;
+    actions.swap(balancer_.actions());
+    for (const Action& a : actions) {
       digest_.add(a);
-      if (a.kind == ActionKind::send) out_.push_back({a.request, a.attempt, a.host, now_, a.span}), ++sends_;
-      if (a.kind == ActionKind::refuse) over_[a.request] = true, ++refused_;
-      if (a.kind == ActionKind::fail) over_[a.request] = true, ++failed_;
-      if (a.kind == ActionKind::cancel) cancelled_[{a.request, a.attempt}] = true;
-      if (a.kind == ActionKind::wake) wake_ = a.span;
+      switch (a.kind) {
+        case ActionKind::send: noteSend(a); break;
+        case ActionKind::refuse: over_[a.request] = true, ++counts_["refused"]; break;
+        case ActionKind::fail: over_[a.request] = true, ++counts_["failed"]; break;
+        case ActionKind::cancel: cancelled_[{a.request, a.attempt}] = true, ++counts_["cancels"]; break;
+        case ActionKind::close:
+          ++counts_["closes"];
+          setConnections(a.host, balancer_.attemptsOut(a.host));
+          break;
+        case ActionKind::forget:
+          ++counts_["forgets"];
+          connections_.erase(a.host);
+          reach_.erase(a.host);
+          break;
+        case ActionKind::wake: wake_ = a.span; break;
+        default: break;
+      }
     }
-    balancer_.actions().clear();
     const double cut = balancer_.cutoff();
     digest_.number(cut * 1e6);
     digest_.number(balancer_.openRequests());
+    ask();
   }
 
+  void noteSend(const Action& a) {
+    const Request& q = requests_[a.request];
+    ++counts_["sends"];
+    for (const OutAttempt& o : out_)
+      if (o.request == a.request) {
+        ++counts_["hedges"];
+        break;
+      }
+    const bool slow = happens(scenario_.slowShare);
+    out_.push_back({a.request, a.attempt, a.host, now_, a.span, slow ? now_ + scenario_.slowTime : Time{}});
+    openFor(a.host);
+    if (a.attempt == 0 && a.request != asked_) ++counts_["waits"];
+    if (a.attempt == 0 && q.hasKey) {
+      const auto before = hostOfKey_.find(q.key);
+      if (before != hostOfKey_.end() && before->second == a.host) ++counts_["key returns"];
+      hostOfKey_[q.key] = a.host;
+    }
+    if (a.attempt > 0) noteRetry(q);
+    if (q.attemptsMost != kNone && a.attempt + 1 == q.attemptsMost) ++counts_["requests at their most"];
+    if (a.attempt >= q.attemptsMost) ++counts_["sends beyond a bound"];
+    if (reach_.count(a.host) && reach_[a.host] == Reach::probe) {
+      ++counts_["probes sent"];
+      reach_[a.host] = Reach::closed;
+    }
+    noteHost(a.host);
+  }
+
+  void noteRetry(const Request& q) {
+    ++counts_["retries"];
+    if (q.classIndex >= settings_.classes.size()) return;
+    const ClassSettings& c = settings_.classes[q.classIndex];
+    if (c.effect == Effect::retryable) ++counts_["retries of retryable"];
+    if (c.effect != Effect::dedup) return;
+    const std::string groups[] = {"all", "zone", "cell"};
+    ++counts_["retries of dedup, " + groups[static_cast<std::size_t>(c.group)]];
+  }
+
+  void noteHost(HostId id) {
+    for (const HostEntry& e : hosts_) {
+      if (balancer_.findHost(e.address) != id) continue;
+      if (e.upSince > Time{} && now_ - e.upSince < settings_.coldTime) ++counts_["sends to cold hosts"];
+      const auto out = balancer_.attemptsOut(id);
+      if (out == static_cast<std::uint32_t>(e.attemptsMost)) ++counts_["hosts at their most"];
+      if (out > static_cast<std::uint32_t>(e.attemptsMost)) ++counts_["sends beyond a bound"];
+    }
+  }
+
+  // The queries, for one host after another, and for one that nobody has named.
+  void ask() {
+    const HostId host = balancer_.findHost(hosts_[asks_++ % hosts_.size()].address);
+    for (const HostId id : {host, balancer_.findHost("nobody")}) {
+      queries_.number(id);
+      queries_.number(balancer_.avoids(id));
+      queries_.number(balancer_.connections(id));
+      queries_.number(balancer_.attemptsOut(id));
+    }
+  }
+
+  // Weights told of a host: without a load, and with so much that the excess is 4 or 16, see the top.
+  static constexpr double kNoLoad = 24, kLoaded = 4, kVeryLoaded = 1;
+
   Scenario scenario_;
+  Settings settings_;  // in force
   std::mt19937_64 engine_;
   Time now_ = seconds(100), wake_{};
   Balancer balancer_;
   std::vector<HostEntry> hosts_;
-  std::vector<Sent> out_;
+  std::vector<OutAttempt> out_;
+  std::map<RequestId, Request> requests_;
+  std::set<RequestId> open_;  // those with a class index that may still be open
+  std::set<RequestId> left_;  // by their clients
   std::map<RequestId, bool> over_;
-  std::map<std::pair<RequestId, std::uint32_t>, bool> cancelled_;
-  Digest digest_;
+  std::map<AttemptName, bool> cancelled_;
+  std::set<AttemptName> started_;
+  std::map<std::uint64_t, HostId> hostOfKey_;
+  std::map<HostId, Reach> reach_;
+  std::map<HostId, std::uint32_t> connections_;
+  std::map<std::uint32_t, std::size_t> askedBy_;
+  std::map<std::string, std::size_t> counts_;
+  Digest digest_, queries_;
   int next_ = 0;
-  std::size_t last_ = 0, sends_ = 0, refused_ = 0, failed_ = 0;
+  RequestId asked_ = 0;  // the request of this event
+  std::size_t last_ = 0, asks_ = 0;
 };
 
 std::vector<std::string> played() {
@@ -232,6 +754,16 @@
   EXPECT_EQ(played(), lines);
 }
 
+TEST(Recorded, EachScenarioExercisesItsSubject) {
+  for (const Scenario& s : scenarios()) {
+    Play play(s);
+    const std::string line = play.run();
+    for (const std::string& subject : s.subjects)
+      EXPECT_GE(play.count(subject), kSubjectFloor) << subject << " in " << line;
+    EXPECT_EQ(play.count("sends beyond a bound"), 0u) << line;
+  }
+}
+
 }  // namespace
 
 int run(int argc, char** argv) {
