--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -2,8 +2,6 @@
 // which some die at one moment while the list goes on naming them. Each row is played with what the pool
 // knows told to the engine, and blind (no reasons, no counts of connections), which is what was told before.
 // Prints tables.
-#include "membership/membership.hpp"
-
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
@@ -20,6 +18,7 @@
 
 #include "core/engine.hpp"
 #include "http/upstream.hpp"
+#include "membership/endpoint_health.hpp"
 
 namespace cairnjunction::bench {
 namespace {
@@ -103,18 +102,18 @@
   std::vector<std::weak_ptr<Connection>> connections_;
 };
 
-ochrehill::Settings moduleSettings() {
-  ochrehill::Settings s;
-  s.cancel = true;
+policy::Settings moduleSettings() {
+  policy::Settings s;
+  s.cancelAllowed = true;
   s.maxAttempts = 6;
-  s.step = 1ms;
-  s.coldTime = 9s;
-  s.coldShare = 0.32;
-  s.fallWindow = 2s;
-  ochrehill::ClassSettings c;
+  s.eventInterval = 1ms;
+  s.slowStartDuration = 9s;
+  s.slowStartInitialFraction = 0.32;
+  s.collapseWindow = 2s;
+  policy::ClassSettings c;
   c.name = "stock-out";  // unsafe: tried again only where it provably never ran
-  c.aim = 400ms;
-  c.giveUp = 1s;
+  c.latencyObjective = 400ms;
+  c.clientTimeout = 1s;
   s.classes = {c};
   return s;
 }
@@ -131,24 +130,24 @@
         blind_(blind),
         gap_(1'000'000us / perSecond),
         length_(length),
-        pool_(io_, {2000, 250ms, 60s}, [this](AttemptEnd end) { ended(std::move(end)); }),
+        pool_(io_, {2000, 250ms, 60s}, [this](AttemptOutcome end) { ended(std::move(end)); }),
         engine_(moduleSettings(), *this, pool_),
         waker_(io_),
         pace_(io_) {
     if (!blind_)
       pool_.onConnections(
-          [this](ochrehill::HostId h, HostConnections c) { engine_.connectionsChanged(h, c); });
-    std::vector<ochrehill::HostEntry> entries;
+          [this](policy::EndpointId h, EndpointConnections c) { engine_.connectionsChanged(h, c); });
+    std::vector<policy::EndpointInfo> entries;
     for (int i = 0; i < hosts; ++i) {
       hosts_.push_back(std::make_unique<Host>(io_));
-      ochrehill::HostEntry e;
+      policy::EndpointInfo e;
       e.address = "h-" + std::to_string(100 + i);
       entries.push_back(e);
     }
-    engine_.tellHosts(ochrehill::ListKind::replace, entries, [&] {
+    engine_.updateEndpoints(policy::EndpointListKind::replace, entries, [&] {
       for (int i = 0; i < hosts; ++i)
-        pool_.list(engine_.findHost(entries[static_cast<std::size_t>(i)].address),
-                   hosts_[static_cast<std::size_t>(i)]->endpoint, true);
+        pool_.updateEndpoint(engine_.findEndpoint(entries[static_cast<std::size_t>(i)].address),
+                             hosts_[static_cast<std::size_t>(i)]->endpoint, true);
     });
   }
 
@@ -157,33 +156,34 @@
     dieAt_ = next_ + 1s;  // after a second in which the module learns what is usual
     endAt_ = dieAt_ + length_;
     call();
-    while (!over_ || engine_.openCalls() > 0) io_.run_one();
+    while (!over_ || engine_.activeCalls() > 0) io_.run_one();
     pool_.stop();
     return row_;
   }
 
  private:
-  ochrehill::Time now() const override { return 24h + (Clock::now() - start_); }
-  void wakeAt(ochrehill::Time at) override {
+  policy::Timestamp now() const override { return 24h + (Clock::now() - start_); }
+  void wakeAt(policy::Timestamp at) override {
     waker_.expires_at(start_ + (at - 24h));
     waker_.async_wait([this](error_code ec) {
       if (!ec) engine_.wake();
     });
   }
-  void subscribe() override {}
-  void doubtList() override {}
+  void pollEndpoints() override {}
+  void requestResync() override {}
   void log(const std::string&) override {}
 
-  void ended(AttemptEnd end) {
-    if (counting_ && end.fault == ochrehill::Fault::refused) ++row_.refusedConnects;
-    if (blind_) end.fault = ochrehill::Fault::unknown, end.carrier = ochrehill::Carrier::unknown;
+  void ended(AttemptOutcome end) {
+    if (counting_ && end.failureReason == policy::FailureReason::connectionRefused) ++row_.refusedConnects;
+    if (blind_)
+      end.failureReason = policy::FailureReason::unknown, end.connectionUse = policy::ConnectionUse::unknown;
     engine_.attemptEnded(std::move(end));
   }
   void onReply(std::uint64_t counted, Reply reply) override {
     if (!counted) return;
-    row_.served += reply.verdict == Verdict::served;
-    row_.refused += reply.verdict == Verdict::refused;
-    row_.failed += reply.verdict == Verdict::failed;
+    row_.served += reply.status == ReplyStatus::ok;
+    row_.refused += reply.status == ReplyStatus::rejected;
+    row_.failed += reply.status == ReplyStatus::failed;
   }
   void call() {
     const auto at = Clock::now();
@@ -197,14 +197,14 @@
     }
     for (; next_ <= at; next_ += gap_) {
       Call call;
-      call.name = "c" + std::to_string(++calls_);
-      call.facts.classIndex = 0;
-      call.facts.left = 1s;
+      call.externalId = "c" + std::to_string(++calls_);
+      call.attributes.classIndex = 0;
+      call.attributes.timeRemaining = 1s;
       call.message.operation = "stock-out";
       call.message.target = "/stock-out";
       row_.calls += counting_;
-      engine_.take(std::move(call), *this, counting_);
-      row_.highestCut = std::max(row_.highestCut, counting_ ? engine_.balancer().cutoff() : 0);
+      engine_.accept(std::move(call), *this, counting_);
+      row_.highestCut = std::max(row_.highestCut, counting_ ? engine_.loadBalancer().cutoff() : 0);
     }
     pace_.expires_at(next_);
     pace_.async_wait([this](error_code) { this->call(); });
@@ -228,9 +228,9 @@
 class Instant final : public Upstream, private Runtime, private ReplySink {
  public:
   Instant(std::uint32_t hosts, bool told) : told_(told), engine_(moduleSettings(), *this, *this) {
-    std::vector<ochrehill::HostEntry> entries(hosts);
+    std::vector<policy::EndpointInfo> entries(hosts);
     for (std::uint32_t i = 0; i < hosts; ++i) entries[i].address = "h-" + std::to_string(1000 + i);
-    engine_.tellHosts(ochrehill::ListKind::replace, entries);
+    engine_.updateEndpoints(policy::EndpointListKind::replace, entries);
     if (told)
       for (std::uint32_t i = 0; i < hosts; ++i) engine_.connectionsChanged(i, {1, 1});
   }
@@ -238,10 +238,10 @@
     const auto begin = Clock::now();
     for (int i = 0; i < calls; ++i) {
       Call call;
-      call.name = "c" + std::to_string(i);
-      call.facts.classIndex = 0;
-      call.facts.left = 1s;
-      engine_.take(std::move(call), *this, 0);
+      call.externalId = "c" + std::to_string(i);
+      call.attributes.classIndex = 0;
+      call.attributes.timeRemaining = 1s;
+      engine_.accept(std::move(call), *this, 0);
       at_ += 50us;
       if (at_ >= wake_) engine_.wake();
     }
@@ -249,42 +249,42 @@
   }
 
  private:
-  void start(AttemptKey key, ochrehill::HostId host, const Call&, const AttemptLimits&) override {
-    AttemptEnd end{key, host, ochrehill::Outcome::served, 1ms, {}};
-    if (told_) end.carrier = ochrehill::Carrier::reused, end.kept = true;
+  void start(AttemptKey key, policy::EndpointId host, const Call&, const AttemptTimeouts&) override {
+    AttemptOutcome end{key, host, policy::Outcome::served, 1ms, {}};
+    if (told_) end.connectionUse = policy::ConnectionUse::reused, end.connectionKept = true;
     engine_.attemptEnded(std::move(end));
   }
   void cancel(AttemptKey) override {}
-  void withdraw(AttemptKey) override {}
-  void closeIdle(ochrehill::HostId) override {}
-  void forget(ochrehill::HostId) override {}
-  ochrehill::Time now() const override { return at_; }
-  void wakeAt(ochrehill::Time at) override { wake_ = at; }
-  void subscribe() override {}
-  void doubtList() override {}
+  void cancelIfUnsent(AttemptKey) override {}
+  void closeIdle(policy::EndpointId) override {}
+  void forget(policy::EndpointId) override {}
+  policy::Timestamp now() const override { return at_; }
+  void wakeAt(policy::Timestamp at) override { wake_ = at; }
+  void pollEndpoints() override {}
+  void requestResync() override {}
   void log(const std::string&) override {}
   void onReply(std::uint64_t, Reply) override {}
 
   bool told_;
-  ochrehill::Time at_ = 24h, wake_{};
+  policy::Timestamp at_ = 24h, wake_{};
   Engine engine_;
 };
 
 // The belief's own part of a call, on the events that the engine gives it.
 double membershipAlone(std::uint32_t hosts, int calls) {
-  Membership beliefs{Membership::Settings{}};
-  std::vector<Membership::Named> named;
-  for (std::uint32_t i = 0; i < hosts; ++i) named.push_back({i, ochrehill::Phase::in, {}});
-  ochrehill::Time at = 24h;
-  beliefs.onList(at, ochrehill::ListKind::replace, named);
+  EndpointHealth beliefs{EndpointHealth::Settings{}};
+  std::vector<EndpointHealth::ListedEndpoint> named;
+  for (std::uint32_t i = 0; i < hosts; ++i) named.push_back({i, policy::EndpointState::active, {}});
+  policy::Timestamp at = 24h;
+  beliefs.onList(at, policy::EndpointListKind::replace, named);
   const auto begin = Clock::now();
   for (int i = 0; i < calls; ++i) {
     const auto host = static_cast<std::uint32_t>(i) % hosts;
     const auto id = static_cast<std::uint64_t>(i);
-    beliefs.onSent(host, id, 0);
-    beliefs.onAttempt(at, {id, 0, host, ochrehill::Outcome::served, 1ms, true, ochrehill::Fault::unknown,
-                           ochrehill::Carrier::reused, true});
-    if (i % 2000 == 0) beliefs.onTime(at), beliefs.takeDoubt(at);
+    beliefs.onAttemptStarted(host, id, 0);
+    beliefs.onAttemptEnded(at, {id, 0, host, policy::Outcome::served, 1ms, true,
+                                policy::FailureReason::unknown, policy::ConnectionUse::reused, true});
+    if (i % 2000 == 0) beliefs.onTick(at), beliefs.takeResyncRequest(at);
     at += 50us;
     if (!beliefs.takeChanges().empty()) std::puts("unexpected");
   }
--- a/src/ops/door.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,12 +1,12 @@
 // The operators' door.
-#include "ops/door.hpp"
+#include "admin/admin_server.hpp"
 
 #include <array>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/write.hpp>
 #include <utility>
 
-namespace cairnjunction::ops {
+namespace cairnjunction::admin {
 namespace {
 
 namespace asio = boost::asio;
@@ -116,4 +116,4 @@
   callers_.remove(held);
 }
 
-}  // namespace cairnjunction::ops
+}  // namespace cairnjunction::admin
--- a/src/ops/door.hpp
+++ b/src/admin/admin_server.hpp
@@ -14,9 +14,9 @@
 #include <string>
 #include <string_view>
 
-#include "lifetime.hpp"
+#include "common/callback_guard.hpp"
 
-namespace cairnjunction::ops {
+namespace cairnjunction::admin {
 
 class Door {
  public:
@@ -47,7 +47,7 @@
   boost::asio::steady_timer again_;
   Answer answer_;
   std::list<std::shared_ptr<Caller>> callers_;  // the one that came first is first
-  Lifetime lifetime_;                           // of what the event loop is still to call
+  CallbackGuard lifetime_;                      // of what the event loop is still to call
 };
 
-}  // namespace cairnjunction::ops
+}  // namespace cairnjunction::admin
--- a/src/ops/figures.cpp
+++ b/src/admin/figures.cpp
@@ -1,10 +1,10 @@
 // The figures as text.
-#include "ops/figures.hpp"
+#include "admin/figures.hpp"
 
 #include <algorithm>
 #include <string_view>
 
-namespace cairnjunction::ops {
+namespace cairnjunction::admin {
 namespace {
 
 constexpr std::string_view kPrefix = "edge_gw.";
@@ -35,4 +35,4 @@
   return text;
 }
 
-}  // namespace cairnjunction::ops
+}  // namespace cairnjunction::admin
--- a/src/ops/figures.hpp
+++ b/src/admin/figures.hpp
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-namespace cairnjunction::ops {
+namespace cairnjunction::admin {
 
 struct ClassFigures {  // counts since the process started
   std::string name;
@@ -30,4 +30,4 @@
 // line is written as `_`.
 std::string reportText(const Figures& figures);
 
-}  // namespace cairnjunction::ops
+}  // namespace cairnjunction::admin
--- a/src/app/keeper_main.cpp
+++ b/src/app/coordinator_main.cpp
@@ -10,11 +10,11 @@
 #include <memory>
 #include <optional>
 
-#include "agreement/identity.hpp"
-#include "agreement/raft_log.hpp"
-#include "fleet/admission.hpp"
-#include "fleet/control.hpp"
-#include "fleet/keeper.hpp"
+#include "consensus/raft_log.hpp"
+#include "consensus/voter_identity.hpp"
+#include "fleet/admin_socket.hpp"
+#include "fleet/coordinator.hpp"
+#include "fleet/voter_handshake.hpp"
 
 namespace {
 
@@ -29,16 +29,16 @@
   unsigned snapshotEvery = 1024;
 };
 
-json answered(fleet::Keeper& keeper, const json& question) {
+json answered(fleet::Coordinator& keeper, const json& question) {
   const std::string ask = question.value("ask", "");
   if (ask == "status") return keeper.status();
-  if (ask == "duties") return keeper.duties();
+  if (ask == "duties") return keeper.leases();
   if (ask == "hand-over") {
-    const duty::Key key{question.value("duty", ""), question.value("shard", 0u)};
-    if (!keeper.leads())
+    const lease::LeaseKey key{question.value("duty", ""), question.value("shard", 0u)};
+    if (!keeper.isLeader())
       return {{"error", "this keeper does not lead; ask keeper " + keeper.status()["leader"].dump()}};
-    if (!keeper.handOver(key))
-      return {{"error", key.duty + "/" + std::to_string(key.shard) + " has no owner that is connected"}};
+    if (!keeper.transfer(key))
+      return {{"error", key.task + "/" + std::to_string(key.shard) + " has no owner that is connected"}};
     return {{"asked", true}};
   }
   return {{"error", "unknown question '" + ask + "': status, duties, hand-over"}};
@@ -46,43 +46,45 @@
 
 int serve(const Options& options) {
   const fleet::Settings settings = fleet::readSettings(options.file);
-  if (!settings.keeper(options.number))
+  if (!settings.coordinator(options.number))
     throw fleet::BadSettings(options.file + ": no keeper has the number " + std::to_string(options.number));
   boost::asio::io_context io(1);
   boost::asio::signal_set stops(io, SIGTERM, SIGINT);
-  agreement::Identity identity(options.folder, settings.fleet, options.number);
-  fleet::Journal journal(options.log, "keeper", std::to_string(options.number));
-  fleet::RegistryMachine machine;
-  fleet::Keeper keeper(io, settings, options.number, identity, machine, journal);
-  fleet::Control control(io, options.folder + "/control.sock",
-                         [&](const json& question) { return answered(keeper, question); });
-  std::unique_ptr<agreement::RaftLog> log;
+  consensus::VoterIdentity identity(options.folder, settings.fleet, options.number);
+  fleet::EventLog journal(options.log, "keeper", std::to_string(options.number));
+  fleet::LeaseStateMachine machine;
+  fleet::Coordinator keeper(io, settings, options.number, identity, machine, journal);
+  fleet::AdminSocket control(io, options.folder + "/control.sock",
+                             [&](const json& question) { return answered(keeper, question); });
+  std::unique_ptr<consensus::RaftLog> log;
   std::exception_ptr failed;
   int code = 0;
-  fleet::Admission admission(io, settings, options.number, identity, journal, [&](const std::string& why) {
-    if (!why.empty()) {
-      std::cerr << "cairnjunction-keeper: " << why << '\n';
-      code = kNotAdmitted;
-      return io.stop();
-    }
-    agreement::RaftOptions raft;
-    raft.folder = options.folder + "/log";
-    raft.number = options.number;
-    raft.listen = settings.keeper(options.number)->raft;
-    for (const fleet::KeeperAddress& k : settings.keepers) raft.keepers[k.number] = k.raft;
-    raft.election = settings.election;
-    raft.heartbeat = settings.election / 10;
-    raft.snapshotEvery = options.snapshotEvery;
-    try {
-      std::filesystem::create_directory(raft.folder);
-      log = std::make_unique<agreement::RaftLog>(io, raft, machine);
-      keeper.serve(*log);
-      journal.line("votes", {{"starts", identity.own().starts}});
-    } catch (...) {  // not through the event loop's handler
-      failed = std::current_exception();
-      io.stop();
-    }
-  });
+  fleet::VoterHandshake admission(io, settings, options.number, identity, journal,
+                                  [&](const std::string& why) {
+                                    if (!why.empty()) {
+                                      std::cerr << "cairnjunction-keeper: " << why << '\n';
+                                      code = kNotAdmitted;
+                                      return io.stop();
+                                    }
+                                    consensus::RaftOptions raft;
+                                    raft.folder = options.folder + "/log";
+                                    raft.number = options.number;
+                                    raft.listen = settings.coordinator(options.number)->raft;
+                                    for (const fleet::CoordinatorAddress& k : settings.coordinators)
+                                      raft.voters[k.number] = k.raft;
+                                    raft.electionTimeout = settings.electionTimeout;
+                                    raft.heartbeatInterval = settings.electionTimeout / 10;
+                                    raft.snapshotThreshold = options.snapshotEvery;
+                                    try {
+                                      std::filesystem::create_directory(raft.folder);
+                                      log = std::make_unique<consensus::RaftLog>(io, raft, machine);
+                                      keeper.serve(*log);
+                                      journal.line("votes", {{"starts", identity.own().startCount}});
+                                    } catch (...) {  // not through the event loop's handler
+                                      failed = std::current_exception();
+                                      io.stop();
+                                    }
+                                  });
   stops.async_wait([&](boost::system::error_code ec, int) {
     if (ec) return;
     keeper.stop();
--- a/src/app/fleet_commands.cpp
+++ b/src/app/fleet_commands.cpp
@@ -10,14 +10,14 @@
 #include <ostream>
 #include <stdexcept>
 
-#include "fleet/control.hpp"
+#include "fleet/admin_socket.hpp"
 
 namespace cairnjunction {
 
 using nlohmann::json;
 
 int fleetStatus(const FleetWords& words, std::ostream& out) {
-  const json answer = fleet::askControl(words.socket, {{"ask", "status"}});
+  const json answer = fleet::queryAdminSocket(words.socket, {{"ask", "status"}});
   if (words.json) {
     out << answer.dump(1) << '\n';
     return 0;
@@ -35,7 +35,7 @@
 }
 
 int fleetDuties(const FleetWords& words, std::ostream& out) {
-  const json answer = fleet::askControl(words.socket, {{"ask", "duties"}});
+  const json answer = fleet::queryAdminSocket(words.socket, {{"ask", "duties"}});
   if (words.json) {
     out << answer.dump(1) << '\n';
     return 0;
@@ -52,8 +52,8 @@
 }
 
 int fleetHandOver(const FleetWords& words, std::ostream& out) {
-  const json answer =
-      fleet::askControl(words.socket, {{"ask", "hand-over"}, {"duty", words.duty}, {"shard", words.shard}});
+  const json answer = fleet::queryAdminSocket(
+      words.socket, {{"ask", "hand-over"}, {"duty", words.duty}, {"shard", words.shard}});
   if (words.json) out << answer.dump(1) << '\n';
   else out << "its owner was asked to hand over " << words.duty << "/" << words.shard << '\n';
   return 0;
--- a/src/app/fleet_probing.cpp
+++ b/src/app/fleet_probing.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "duty/hash.hpp"
 #include "fleet/boot_clock.hpp"
+#include "lease/stable_hash.hpp"
 
 namespace cairnjunction {
 
@@ -13,19 +13,20 @@
 using nlohmann::json;
 
 FleetProbing::FleetProbing(boost::asio::io_context& io, Engine& engine, const fleet::Member& member,
-                           std::uint32_t shards, std::function<bool(const duty::Key&, std::string)> word)
+                           std::uint32_t shards,
+                           std::function<bool(const lease::LeaseKey&, std::string)> word)
     : timer_(io), engine_(engine), member_(member), shards_(shards), word_(std::move(word)) {
   if (shards_ > 0) turn();
 }
 
 std::uint32_t FleetProbing::shardOf(const std::string& uid) const {
-  const std::uint64_t h = duty::stableHash(uid);
+  const std::uint64_t h = lease::stableHash(uid);
   return static_cast<std::uint32_t>((h ^ (h >> 32)) % shards_);
 }
 
 void FleetProbing::turn() {
-  const duty::Time now = bootTime();
-  const bool together = member_.joined() && !member_.alone();
+  const lease::Time now = bootTime();
+  const bool together = member_.hasJoined() && !member_.isIsolated();
   std::map<std::uint32_t, json> rows;  // by shard: what to say
   std::set<std::uint32_t> due;
   const auto say = [&](std::uint32_t shard) -> json& {
@@ -33,12 +34,12 @@
     if (row.is_null()) row = {{"out", json::array()}, {"up", json::array()}};
     return row;
   };
-  std::map<std::string, duty::Time> outHere;
-  for (const ochrehill::HostId out : engine_.membership().outHosts()) {
-    const std::string uid = engine_.balancer().address(out);
+  std::map<std::string, lease::Time> outHere;
+  for (const policy::EndpointId out : engine_.endpointHealth().unreachableEndpoints()) {
+    const std::string uid = engine_.loadBalancer().address(out);
     const std::uint32_t shard = shardOf(uid);
-    const bool mine = member_.owns({kProbeDuty, shard});
-    if (mine || !together) engine_.leaveToOthers(out, {});
+    const bool mine = member_.holds({kProbeDuty, shard});
+    if (mine || !together) engine_.delegateProbing(out, {});
     if (mine && outHere.size() < kHostsMost) {
       outHere[uid] = now;
       say(shard)["out"].push_back(uid);
@@ -47,15 +48,15 @@
     // From now by the module's clock: until the owner's word is stale, or it has had its time for a first
     // one.
     const auto heard = heardOut_.find(uid);
-    const duty::Time first = outHere_.count(uid) ? outHere_[uid] : now;
+    const lease::Time first = outHere_.count(uid) ? outHere_[uid] : now;
     outHere[uid] = first;
-    const duty::Time until = heard == heardOut_.end() ? first + kFirst : heard->second + kFresh;
+    const lease::Time until = heard == heardOut_.end() ? first + kFirst : heard->second + kFresh;
     if (until <= now) continue;
-    engine_.leaveToOthers(out, engine_.now() + (until - now));
+    engine_.delegateProbing(out, engine_.now() + (until - now));
     ++left_;
   }
   for (const auto& [uid, at] : outHere_)
-    if (!outHere.count(uid) && member_.owns({kProbeDuty, shardOf(uid)})) {
+    if (!outHere.count(uid) && member_.holds({kProbeDuty, shardOf(uid)})) {
       found_[uid] = {now, kRepeats};
       due.insert(shardOf(uid));
     }
@@ -68,8 +69,8 @@
     it = over ? found_.erase(it) : std::next(it);
   }
   for (const auto& [shard, row] : rows) {
-    duty::Time& told = toldAt_[shard];
-    if (!due.count(shard) && told > duty::Time{} && now < told + kTell) continue;
+    lease::Time& told = toldAt_[shard];
+    if (!due.count(shard) && told > lease::Time{} && now < told + kTell) continue;
     if (!word_({kProbeDuty, shard}, row.dump())) continue;
     told = now;
     for (const json& up : row["up"]) --found_[up["uid"].get<std::string>()].repeats;
@@ -81,11 +82,11 @@
   }));
 }
 
-void FleetProbing::ordered(const fleet::Order& order) {
-  if (order.id.key.duty != kProbeDuty || order.id.from == member_.self()) return;
+void FleetProbing::ordered(const fleet::Command& order) {
+  if (order.token.key.task != kProbeDuty || order.token.holder == member_.self()) return;
   const json body = json::parse(order.body, nullptr, false);
   if (!body.is_object()) return;
-  const duty::Time now = bootTime();
+  const lease::Time now = bootTime();
   for (const json& uid : body.value("out", json::array()))
     if (uid.is_string() && heardOut_.size() < kHostsMost) heardOut_[uid.get<std::string>()] = now;
   for (const json& up : body.value("up", json::array())) {
@@ -94,8 +95,8 @@
     const auto age =
         std::chrono::milliseconds(std::max<std::int64_t>(up.value("age_ms", std::int64_t{0}), 0));
     heardOut_.erase(uid);
-    if (const ochrehill::HostId host = engine_.findHost(uid); host != ochrehill::kNone)
-      engine_.foundByOthers(host, age);
+    if (const policy::EndpointId host = engine_.findEndpoint(uid); host != policy::kNone)
+      engine_.onRemoteProbeResult(host, age);
   }
 }
 
--- a/src/app/gateway.cpp
+++ b/src/app/gateway.cpp
@@ -13,11 +13,11 @@
 
 namespace asio = boost::asio;
 using boost::system::error_code;
-using ochrehill::Duration;
-using ochrehill::HostId;
-using ochrehill::ListKind;
-using ochrehill::Phase;
-using ochrehill::Time;
+using policy::Duration;
+using policy::EndpointId;
+using policy::EndpointListKind;
+using policy::EndpointState;
+using policy::Timestamp;
 using Clock = std::chrono::steady_clock;
 
 // Of the memory, for bodies of requests: each is held twice while it is written to a host.
@@ -37,7 +37,7 @@
 }
 
 HttpUpstream::Limits hostLimits(const Config& config) {
-  return {shareOf(config.sockets, 2, 5), config.connectTimeout, config.module.idleClose};
+  return {shareOf(config.sockets, 2, 5), config.connectTimeout, config.module.idleTimeout};
 }
 
 // Both fronts together have what the only one has.
@@ -51,12 +51,12 @@
 }
 
 // HTTP connections carry one request at a time, whatever the settings say.
-ochrehill::Settings moduleSettings(const Config& config, const jsonrpc::Settings& jsonRpc) {
-  ochrehill::Settings settings = config.module;
+policy::Settings moduleSettings(const Config& config, const jsonrpc::Settings& jsonRpc) {
+  policy::Settings settings = config.module;
   // Danger: an HTTP client holds a connection for each request, and those that find none left fail whatever
   // they are worth. So the cut begins before: those of least worth are told at once, and their connections
   // are free again.
-  if (!jsonRpc.listen) settings.inflightMost = static_cast<std::uint32_t>(config.sockets / kClientPart);
+  if (!jsonRpc.listen) settings.maxInFlight = static_cast<std::uint32_t>(config.sockets / kClientPart);
   if (jsonRpc.workers.jsonRpc) settings.streamsPerConnection = jsonRpc.workers.streams;
   return settings;
 }
@@ -90,12 +90,14 @@
       upstream_(makeUpstream(config)),
       engine_(settings_, *this, *upstream_),
       discovery_(io, config.discovery,
-                 {[this](const HostList& list) { fromDiscovery(list); }, [this] { discoveryFailed(); },
-                  [this] { engine_.doubtFailed(); },
+                 {[this](const EndpointList& list) { fromDiscovery(list); }, [this] { discoveryFailed(); },
+                  [this] { engine_.resyncFailed(); },
                   [this] {
                     if (fleet_) fleet_->discoveryFailed();
                   }},
-                 waits.discovery, settings_.askDiscovery ? Discovery::Mode::asked : Discovery::Mode::pushed),
+                 waits.discovery,
+                 settings_.pollDiscovery ? DiscoveryClient::ListSource::polled
+                                         : DiscoveryClient::ListSource::pushed),
       waker_(io),
       drainTimer_(io),
       pools_(router
@@ -107,9 +109,9 @@
           io, {config.listen, config.acceptFd}, clientLimits(config, waits.clients, jsonRpc),
           settings_.tenants, engine_, [this] { return ready_ && !draining_; }, pools_.get()) {
   upstream_->onConnections(
-      [this](HostId host, HostConnections now) { engine_.connectionsChanged(host, now); });
+      [this](EndpointId host, EndpointConnections now) { engine_.connectionsChanged(host, now); });
   if (jsonRpcSettings_.listen) {
-    jsonrpc::FrontLimits& limits = jsonRpcSettings_.limits;
+    jsonrpc::FrontendLimits& limits = jsonRpcSettings_.limits;
     limits.connections = std::min(limits.connections, clientConnections(config, true));
     limits.bytes = std::min(limits.bytes, (config.memoryMb << 20) / kTextPart);
     // Names of calls go into headers of workers that speak HTTP.
@@ -119,21 +121,21 @@
     // New with each start: workers may still know names of the last one.
     const auto born =
         std::chrono::duration_cast<std::chrono::microseconds>(unixStart_.time_since_epoch()).count();
-    jsonRpc_ = std::make_unique<jsonrpc::Front>(io, jsonRpcSettings_, engine_,
-                                                prefix + "-" + std::to_string(born) + "-");
+    jsonRpc_ = std::make_unique<jsonrpc::Frontend>(io, jsonRpcSettings_, engine_,
+                                                   prefix + "-" + std::to_string(born) + "-");
   }
-  if (config.known) discovery_.knows(config.known->version);
+  if (config.known) discovery_.setKnownVersion(config.known->version);
   if (fleet)
-    fleet_ = std::make_unique<FleetLists>(io, *fleet, config.name, discovery_, engine_, config.discovery,
-                                          config.known, !settings_.askDiscovery,
-                                          [this](const HostList& list) { told(list); });
+    fleet_ = std::make_unique<FleetEndpointLists>(io, *fleet, config.name, discovery_, engine_,
+                                                  config.discovery, config.known, !settings_.pollDiscovery,
+                                                  [this](const EndpointList& list) { told(list); });
   // The module asks discovery once it was given a list, an empty one too.
-  told(config.known ? *config.known : HostList{0, true, {}}, ListKind::restored);
+  told(config.known ? *config.known : EndpointList{0, true, {}}, EndpointListKind::restored);
   // Danger: where lists are pushed the module asks for none, and what the agent has counts as told already.
-  if (!settings_.askDiscovery) subscribe();
+  if (!settings_.pollDiscovery) pollEndpoints();
   if (config.mgmt)
-    door_ = std::make_unique<ops::Door>(io, *config.mgmt,
-                                        [this](std::string_view line) { return answerOperator(line); });
+    door_ = std::make_unique<admin::Door>(io, *config.mgmt,
+                                          [this](std::string_view line) { return answerOperator(line); });
 }
 
 Gateway::~Gateway() {
@@ -142,11 +144,12 @@
   discovery_.stop();
 }
 
-std::unique_ptr<HostUpstream> Gateway::makeUpstream(const Config& config) {
-  const auto ended = [this](AttemptEnd end) { engine_.attemptEnded(std::move(end)); };
+std::unique_ptr<EndpointUpstream> Gateway::makeUpstream(const Config& config) {
+  const auto ended = [this](AttemptOutcome end) { engine_.attemptEnded(std::move(end)); };
   if (!jsonRpcSettings_.workers.jsonRpc) {
     auto upstream = std::make_unique<HttpUpstream>(
-        io_, hostLimits(config), ended, [this](AttemptEnd end) { engine_.answerStarted(std::move(end)); });
+        io_, hostLimits(config), ended,
+        [this](AttemptOutcome end) { engine_.responseStarted(std::move(end)); });
     limitUpstream_ = [to = upstream.get()](const Config& c) { to->setLimits(hostLimits(c)); };
     return upstream;
   }
@@ -167,16 +170,17 @@
 
 // --- Clock ----------------------------------------------------------------------------------------------
 
-Time Gateway::now() const { return clock_.now(); }
+Timestamp Gateway::now() const { return clock_.now(); }
 
 // By one offset for good: the module takes a host whose start moved for a new process.
-Time Gateway::moduleTime(std::int64_t unixMs) const {
-  if (unixMs <= 0) return Time{};
-  const Time at = ModuleClock::kStart + (std::chrono::milliseconds(unixMs) - unixStart_.time_since_epoch());
-  return std::max(at, Time{});
+Timestamp Gateway::moduleTime(std::int64_t unixMs) const {
+  if (unixMs <= 0) return Timestamp{};
+  const Timestamp at =
+      LoadBalancerClock::kStart + (std::chrono::milliseconds(unixMs) - unixStart_.time_since_epoch());
+  return std::max(at, Timestamp{});
 }
 
-void Gateway::wakeAt(Time at) {
+void Gateway::wakeAt(Timestamp at) {
   wakeAt_ = at;
   waker_.expires_at(clock_.at(at));
   waker_.async_wait(lifetime_.guard([this](error_code ec) {
@@ -186,78 +190,81 @@
 
 // --- Discovery, and the fleet before it -------------------------------------------------------------------
 
-void Gateway::subscribe() {
+void Gateway::pollEndpoints() {
   if (fleet_) fleet_->subscribe();
   else discovery_.watch();
 }
 
-void Gateway::doubtList() {
+void Gateway::requestResync() {
   if (fleet_) fleet_->doubted();
-  else discovery_.verify();
+  else discovery_.refresh();
 }
 
-void Gateway::fromDiscovery(const HostList& list) {
+void Gateway::fromDiscovery(const EndpointList& list) {
   if (fleet_) fleet_->fromDiscovery(list);
   else told(list);
 }
 
 void Gateway::discoveryFailed() {
   if (fleet_) fleet_->discoveryFailed();
-  engine_.tellHosts(ListKind::unavailable, {});
+  engine_.updateEndpoints(EndpointListKind::unavailable, {});
 }
 
 // --- Hosts ----------------------------------------------------------------------------------------------
 
-void Gateway::told(const HostList& list) { told(list, list.full ? ListKind::replace : ListKind::update); }
+void Gateway::told(const EndpointList& list) {
+  told(list, list.full ? EndpointListKind::replace : EndpointListKind::update);
+}
 
-void Gateway::told(const HostList& list, ListKind kind) {
-  std::vector<ochrehill::HostEntry> entries;
-  for (const ListedHost& host : list.hosts) {
-    ochrehill::HostEntry e;
+void Gateway::told(const EndpointList& list, EndpointListKind kind) {
+  std::vector<policy::EndpointInfo> entries;
+  for (const DiscoveredEndpoint& host : list.endpoints) {
+    policy::EndpointInfo e;
     // The uid names a host to the module: it is the same at all gateways, and outlives a new address.
     e.address = host.uid;
     e.zone = host.zone;
-    e.kind = host.kind;
+    e.machineKind = host.machineKind;
     e.cell = host.cell;
     e.weight = host.weight;
-    e.upSince = moduleTime(host.bootMs);
-    e.phase = host.state == HostState::serving    ? Phase::in
-              : host.state == HostState::draining ? Phase::draining
-                                                  : Phase::out;
+    e.startedAt = moduleTime(host.bootMs);
+    e.state = host.state == DiscoveredState::serving    ? EndpointState::active
+              : host.state == DiscoveredState::draining ? EndpointState::draining
+                                                        : EndpointState::removed;
     entries.push_back(std::move(e));
   }
   const auto byAddress = [&] {
-    if (kind != ListKind::update) upstream_->unlistAll();
-    for (const ListedHost& host : list.hosts)
-      if (const HostId id = engine_.findHost(host.uid); id != ochrehill::kNone)
-        if (upstream_->list(id, host.endpoint, host.state == HostState::serving)) engine_.hostMoved(id);
+    if (kind != EndpointListKind::update) upstream_->removeAllEndpoints();
+    for (const DiscoveredEndpoint& host : list.endpoints)
+      if (const EndpointId id = engine_.findEndpoint(host.uid); id != policy::kNone)
+        if (upstream_->updateEndpoint(id, host.endpoint, host.state == DiscoveredState::serving))
+          engine_.endpointAddressChanged(id);
   };
-  engine_.tellHosts(kind, entries, byAddress);
-  ready_ = ready_ || !list.hosts.empty() || kind != ListKind::restored;
+  engine_.updateEndpoints(kind, entries, byAddress);
+  ready_ = ready_ || !list.endpoints.empty() || kind != EndpointListKind::restored;
 }
 
 // --- Operators ------------------------------------------------------------------------------------------
 
-ops::Figures Gateway::figures() const {
-  ops::Figures figures;
-  for (const Engine::Tally& tally : engine_.tallies())
-    figures.classes.push_back({tally.name, tally.served, tally.refused, tally.failed});
-  figures.dispatches = upstream_->dispatches();
+admin::Figures Gateway::figures() const {
+  admin::Figures figures;
+  for (const Engine::ReplyCounts& tally : engine_.replyCounts())
+    figures.classes.push_back({tally.className, tally.ok, tally.rejected, tally.failed});
+  figures.dispatches = upstream_->attemptsWritten();
   if (pools_)
     for (const auto& pool : pools_->fixed()) {
-      const auto& tallies = pool->engine().tallies();
+      const auto& tallies = pool->engine().replyCounts();
       for (std::size_t i = 0; i < tallies.size(); ++i) {
         const auto known = std::find_if(figures.classes.begin(), figures.classes.end(),
-                                        [&](const auto& c) { return c.name == tallies[i].name; });
+                                        [&](const auto& c) { return c.name == tallies[i].className; });
         if (known == figures.classes.end()) continue;
-        known->success += tallies[i].served;
-        known->overload += tallies[i].refused;
+        known->success += tallies[i].ok;
+        known->overload += tallies[i].rejected;
         known->error += tallies[i].failed;
       }
-      figures.dispatches += pool->upstream().dispatches();
+      figures.dispatches += pool->upstream().attemptsWritten();
     }
-  figures.concurrent = engine_.unanswered();
-  const Engine::Targets targets = engine_.targets();
+  figures.concurrent = engine_.awaitingReply();
+  const Engine::EndpointCounts targets = engine_.endpointCounts();
   figures.targets = targets.listed;
   figures.targetsDisabled = targets.avoided;
   figures.reloadSuccess = reloads_;
@@ -270,7 +277,7 @@
 std::string Gateway::answerOperator(std::string_view line) const {
   if (line == "check")
     return ready_ && !draining_ ? "SUCCESS\n" : draining_ ? "FAILURE stopping\n" : "FAILURE no hosts yet\n";
-  if (line == "vars") return ops::reportText(figures()) + "EOT\n";
+  if (line == "vars") return admin::reportText(figures()) + "EOT\n";
   return "FAILURE unknown call: check, vars\n";
 }
 
@@ -278,7 +285,7 @@
 
 // The listeners stay as they are until a restart, and so does what JSON-RPC was given beside its classes.
 void Gateway::reload(const Config& config, const jsonrpc::Settings& jsonRpc) {
-  const ochrehill::Settings next = moduleSettings(config, jsonRpcSettings_);
+  const policy::Settings next = moduleSettings(config, jsonRpcSettings_);
   if ((pools_ && !pools_->mayConfigure(next)) || !engine_.configure(next))
     throw BadConfig("grades: more classes than there is room for");
   settings_ = next;
@@ -300,7 +307,7 @@
 // After a stop was asked for, the platform leaves us so long at least.
 Duration Gateway::killedAfter() const {
   Duration deadline{};
-  for (const ochrehill::ClassSettings& c : settings_.classes) deadline = std::max(deadline, c.giveUp);
+  for (const policy::ClassSettings& c : settings_.classes) deadline = std::max(deadline, c.clientTimeout);
   return std::min<Duration>(deadline, kLongestCounted) + kKillSlack;
 }
 
@@ -309,8 +316,9 @@
 // sent away then find nobody. It leaves the time for the slowest answer before we are killed.
 Duration Gateway::serveOn() const {
   Duration answer{};
-  for (const ochrehill::ClassSettings& c : settings_.classes)
-    answer = std::max(answer, c.lateShare > 0 || c.aimStretch > 0 ? c.giveUp : c.aim);
+  for (const policy::ClassSettings& c : settings_.classes)
+    answer = std::max(
+        answer, c.lateValueFraction > 0 || c.objectiveCostFactor > 0 ? c.clientTimeout : c.latencyObjective);
   return std::clamp<Duration>(killedAfter() - answer - kDrainMargin, kAcceptOn, kServeMost);
 }
 
@@ -329,7 +337,7 @@
     // Danger: what is taken from here on is lost if the kill finds it unanswered, as a request whose second
     // half is slow to come.
     const Duration left = killAt_ - kDrainMargin - now();
-    engine_.answerWithin(left);
+    engine_.limitTimeRemaining(left);
     if (pools_) pools_->answerWithin(left);
     if (shared_) return finishDrain();
     http_.server().stopListening();
@@ -349,7 +357,7 @@
   drainTimer_.expires_at(clock_.at(killAt_ - kDrainMargin));
   drainTimer_.async_wait(lifetime_.guard([this](error_code ec) {
     if (ec) return;
-    engine_.endCallsBeyond(killAt_);
+    engine_.failCallsPast(killAt_);
     if (pools_) pools_->endCallsBeyond(killAt_ - now());
   }));
 }
--- a/src/app/gateway.hpp
+++ b/src/app/gateway.hpp
@@ -8,21 +8,21 @@
 #include <memory>
 #include <string>
 
-#include "app/fleet.hpp"
-#include "app/module_clock.hpp"
+#include "admin/admin_server.hpp"
+#include "admin/figures.hpp"
+#include "app/fleet_endpoint_lists.hpp"
+#include "app/load_balancer_clock.hpp"
 #include "app/pools.hpp"
+#include "cairnjunction/load_balancer.hpp"
+#include "common/callback_guard.hpp"
 #include "config/config.hpp"
 #include "core/engine.hpp"
 #include "core/margin.hpp"
-#include "discovery/discovery.hpp"
-#include "http/front.hpp"
-#include "jsonrpc/front.hpp"
+#include "discovery/discovery_client.hpp"
+#include "http/frontend.hpp"
+#include "jsonrpc/frontend.hpp"
 #include "jsonrpc/settings.hpp"
-#include "lifetime.hpp"
-#include "ochrehill/ochrehill.hpp"
-#include "ops/door.hpp"
-#include "ops/figures.hpp"
-#include "upstream/host_upstream.hpp"
+#include "upstream/endpoint_upstream.hpp"
 
 namespace cairnjunction {
 
@@ -37,7 +37,7 @@
  public:
   struct Waits {  // shorter in tests only
     HttpServer::Limits clients;
-    Discovery::Waits discovery;
+    DiscoveryClient::Timeouts discovery;
   };
 
   // Listens and asks discovery at once. Throws boost::system::system_error if it can't listen. `jsonRpc` was
@@ -54,69 +54,69 @@
 
   boost::asio::ip::tcp::endpoint listening() const { return http_.server().listening(); }
   boost::asio::ip::tcp::endpoint listeningJsonRpc() const { return jsonRpc_->listening(); }
-  const jsonrpc::Front* jsonRpc() const { return jsonRpc_.get(); }  // null: off
+  const jsonrpc::Frontend* jsonRpc() const { return jsonRpc_.get(); }  // null: off
   // A new configuration: its discovery and limits hold from now on. What is under way goes on.
   // Resolved as for the constructor. Throws BadConfig, and then nothing has changed.
   void reload(const Config& config, const jsonrpc::Settings& jsonRpc = {});
   void reloadFailed() { ++reloadFailures_; }  // a file was turned down
-  ops::Figures figures() const;
-  const ops::Door* door() const { return door_.get(); }  // null: none
-  std::size_t openRequests() const { return engine_.openCalls(); }
-  std::size_t hosts() const { return upstream_->hosts(); }
+  admin::Figures figures() const;
+  const admin::Door* door() const { return door_.get(); }  // null: none
+  std::size_t openRequests() const { return engine_.activeCalls(); }
+  std::size_t hosts() const { return upstream_->endpointCount(); }
   const Engine& engine() const { return engine_; }
-  const FleetLists* fleet() const { return fleet_.get(); }  // null: off
-  Pools* pools() { return pools_.get(); }                   // null: no routes
+  const FleetEndpointLists* fleet() const { return fleet_.get(); }  // null: off
+  Pools* pools() { return pools_.get(); }                           // null: no routes
   std::size_t connections() const {
-    return http_.server().connections() + upstream_->connections() +
+    return http_.server().connections() + upstream_->connectionCount() +
            (jsonRpc_ ? jsonRpc_->connections() : 0) + (pools_ ? pools_->connections() : 0);
   }
   // Finishes what was taken, then closes all and calls `done`.
   void drain(std::function<void()> done);
 
  private:
-  ochrehill::Time now() const override;
-  void wakeAt(ochrehill::Time at) override;
-  void subscribe() override;
-  void doubtList() override;
+  policy::Timestamp now() const override;
+  void wakeAt(policy::Timestamp at) override;
+  void pollEndpoints() override;
+  void requestResync() override;
   void log(const std::string& line) override { log_(line); }
 
-  ochrehill::Time moduleTime(std::int64_t unixMs) const;
-  void told(const HostList& list);
-  void told(const HostList& list, ochrehill::ListKind kind);
-  std::unique_ptr<HostUpstream> makeUpstream(const Config& config);
-  void fromDiscovery(const HostList& list);
+  policy::Timestamp moduleTime(std::int64_t unixMs) const;
+  void told(const EndpointList& list);
+  void told(const EndpointList& list, policy::EndpointListKind kind);
+  std::unique_ptr<EndpointUpstream> makeUpstream(const Config& config);
+  void fromDiscovery(const EndpointList& list);
   void discoveryFailed();
   void emptied(bool& front);
-  ochrehill::Duration killedAfter() const;
-  ochrehill::Duration serveOn() const;
+  policy::Duration killedAfter() const;
+  policy::Duration serveOn() const;
   void finishDrain();
   std::string answerOperator(std::string_view line) const;
 
   boost::asio::io_context& io_;
-  ModuleClock clock_;
+  LoadBalancerClock clock_;
   std::chrono::system_clock::time_point unixStart_;
-  ochrehill::Settings settings_;
+  policy::Settings settings_;
   jsonrpc::Settings jsonRpcSettings_;
   Waits waits_;
   const bool shared_;  // the clients' listening socket is held by others too
   std::function<void(std::string)> log_;
   std::function<void(const Config&)> limitUpstream_;  // set with the upstream, so before it
-  std::unique_ptr<HostUpstream> upstream_;
+  std::unique_ptr<EndpointUpstream> upstream_;
   Engine engine_;
-  Discovery discovery_;
+  DiscoveryClient discovery_;
   boost::asio::steady_timer waker_, drainTimer_;
-  ochrehill::Time wakeAt_{};
-  ochrehill::Time killAt_{};  // in a stop: no sooner than this
+  policy::Timestamp wakeAt_{};
+  policy::Timestamp killAt_{};  // in a stop: no sooner than this
   std::function<void()> drained_;
   bool ready_ = false, draining_ = false;
   bool httpEmpty_ = false, jsonRpcEmpty_ = false;  // in a drain: no client is left
   std::unique_ptr<Pools> pools_;                   // before the front, which goes by them
-  HttpFront http_;                                 // the fronts last: they may hand over calls from here on
-  std::unique_ptr<jsonrpc::Front> jsonRpc_;
+  HttpFrontend http_;                              // the fronts last: they may hand over calls from here on
+  std::unique_ptr<jsonrpc::Frontend> jsonRpc_;
   std::uint64_t reloads_ = 0, reloadFailures_ = 0;
-  std::unique_ptr<ops::Door> door_;
-  std::unique_ptr<FleetLists> fleet_;
-  Lifetime lifetime_;  // of what the event loop is still to call
+  std::unique_ptr<admin::Door> door_;
+  std::unique_ptr<FleetEndpointLists> fleet_;
+  CallbackGuard lifetime_;  // of what the event loop is still to call
 };
 
 }  // namespace cairnjunction
--- a/src/app/module_clock.hpp
+++ b/src/app/load_balancer_clock.hpp
@@ -4,16 +4,16 @@
 
 #include <chrono>
 
-#include "ochrehill/ochrehill.hpp"
+#include "cairnjunction/load_balancer.hpp"
 
 namespace cairnjunction {
 
-class ModuleClock {
+class LoadBalancerClock {
  public:
-  static constexpr ochrehill::Time kStart = std::chrono::hours(24);
+  static constexpr policy::Timestamp kStart = std::chrono::hours(24);
 
-  ochrehill::Time now() const { return kStart + (std::chrono::steady_clock::now() - start_); }
-  std::chrono::steady_clock::time_point at(ochrehill::Time time) const { return start_ + (time - kStart); }
+  policy::Timestamp now() const { return kStart + (std::chrono::steady_clock::now() - start_); }
+  std::chrono::steady_clock::time_point at(policy::Timestamp time) const { return start_ + (time - kStart); }
 
  private:
   std::chrono::steady_clock::time_point start_ = std::chrono::steady_clock::now();
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -123,8 +123,8 @@
   }
   if (!files.fleet.empty()) {
     const cairnjunction::fleet::Settings fleet = cairnjunction::fleet::readSettings(files.fleet);
-    std::cout << files.fleet << ": good: fleet '" << fleet.fleet << "', " << fleet.keepers.size()
-              << " keepers, " << fleet.duties.size() << " duties\n";
+    std::cout << files.fleet << ": good: fleet '" << fleet.fleet << "', " << fleet.coordinators.size()
+              << " keepers, " << fleet.tasks.size() << " duties\n";
   }
   return 0;
 }
--- a/src/app/pools.cpp
+++ b/src/app/pools.cpp
@@ -9,29 +9,28 @@
 
 namespace asio = boost::asio;
 using boost::system::error_code;
-using ochrehill::ListKind;
-using ochrehill::Settings;
-using ochrehill::Time;
+using policy::EndpointListKind;
+using policy::Settings;
+using policy::Timestamp;
 using Clock = std::chrono::steady_clock;
 
 constexpr int kRefused = 503;
 
 // Such a pool has no discovery to ask, and no neighbours that it shares its servers with.
 Settings poolSettings(Settings settings, const route::Pool& pool, std::uint64_t calls) {
-  settings.askDiscovery = false;
-  settings.askWithin = {};
+  settings.pollDiscovery = false;
+  settings.maxPollInterval = {};
   settings.seed ^= std::hash<std::string>{}(pool.name);
-  settings.inflightMost = static_cast<std::uint32_t>(std::min<std::uint64_t>(calls, UINT32_MAX));
+  settings.maxInFlight = static_cast<std::uint32_t>(std::min<std::uint64_t>(calls, UINT32_MAX));
   return settings;
 }
 
 // The shortest time for connecting that a location of the pool names, and never longer than the settings have
 // it.
-void shorten(const std::vector<route::Location>& locations, const std::string& pool,
-             ochrehill::Duration& time) {
+void shorten(const std::vector<route::Location>& locations, const std::string& pool, policy::Duration& time) {
   for (const route::Location& location : locations) {
     if (location.proxy && location.proxy->pool == pool && location.proxy->connectTimeout)
-      time = std::min<ochrehill::Duration>(time, *location.proxy->connectTimeout);
+      time = std::min<policy::Duration>(time, *location.proxy->connectTimeout);
     shorten(location.nested, pool, time);
   }
 }
@@ -58,8 +57,8 @@
 }  // namespace
 
 FixedPool::FixedPool(asio::io_context& io, const route::Pool& pool, std::size_t index,
-                     pools::Budget& descriptors, const HttpUpstream::Limits& limits, const Settings& settings,
-                     std::function<void(std::string)> log)
+                     pools::SharedQuota& descriptors, const HttpUpstream::Limits& limits,
+                     const Settings& settings, std::function<void(std::string)> log)
     : io_(io),
       name_(pool.name),
       index_(index),
@@ -67,14 +66,14 @@
       log_(std::move(log)),
       plan_(pool.servers),
       upstream_(
-          io, limits, [this](AttemptEnd end) { ended(std::move(end)); },
-          [this](AttemptEnd end) { engine_.answerStarted(std::move(end)); }),
+          io, limits, [this](AttemptOutcome end) { ended(std::move(end)); },
+          [this](AttemptOutcome end) { engine_.responseStarted(std::move(end)); }),
       engine_(settings, *this, upstream_),
       waker_(io),
       planTimer_(io) {
   upstream_.shareDescriptors(this);
   upstream_.onConnections(
-      [this](ochrehill::HostId host, HostConnections now) { engine_.connectionsChanged(host, now); });
+      [this](policy::EndpointId host, EndpointConnections now) { engine_.connectionsChanged(host, now); });
   for (std::size_t i = 0; i < pool.servers.size(); ++i) {
     const route::PoolServer& s = pool.servers[i];
     const int most = s.connectionsMost > 0
@@ -84,14 +83,14 @@
     servers_.push_back({s.address + "#" + std::to_string(i), addressOf(io, pool, s.address), most,
                         static_cast<double>(s.weight)});
   }
-  tell(ListKind::replace);
+  tell(EndpointListKind::replace);
 }
 
 FixedPool::~FixedPool() { upstream_.stop(); }
 
-Time FixedPool::now() const { return clock_.now(); }
+Timestamp FixedPool::now() const { return clock_.now(); }
 
-void FixedPool::wakeAt(Time at) {
+void FixedPool::wakeAt(Timestamp at) {
   wakeAt_ = at;
   waker_.expires_at(clock_.at(at));
   waker_.async_wait(lifetime_.guard([this](error_code ec) {
@@ -99,10 +98,10 @@
   }));
 }
 
-void FixedPool::ended(AttemptEnd end) {
-  const auto server = serverOf_.find(end.host);
+void FixedPool::ended(AttemptOutcome end) {
+  const auto server = serverOf_.find(end.endpoint);
   if (server != serverOf_.end() &&
-      plan_.onResult(now(), server->second, pools::failed(end.outcome, end.fault)))
+      plan_.onResult(now(), server->second, pools::failed(end.outcome, end.failureReason)))
     tellSoon();
   engine_.attemptEnded(std::move(end));
 }
@@ -113,28 +112,28 @@
   if (std::exchange(telling_, true)) return;
   asio::post(io_, lifetime_.guard([this] {
     telling_ = false;
-    tell(ListKind::update);
+    tell(EndpointListKind::update);
   }));
 }
 
-void FixedPool::tell(ListKind kind) {
-  std::vector<ochrehill::HostEntry> entries;
+void FixedPool::tell(EndpointListKind kind) {
+  std::vector<policy::EndpointInfo> entries;
   for (std::size_t i = 0; i < servers_.size(); ++i) {
-    ochrehill::HostEntry e;
+    policy::EndpointInfo e;
     e.address = servers_[i].uid;
     // Machines of one weight are one kind: the module learns what such a one does.
-    e.kind = std::to_string(servers_[i].weight);
+    e.machineKind = std::to_string(servers_[i].weight);
     e.weight = servers_[i].weight;
-    e.attemptsMost = servers_[i].attemptsMost;
-    e.phase = plan_.offered()[i] ? ochrehill::Phase::in : ochrehill::Phase::draining;
+    e.maxInFlight = servers_[i].attemptsMost;
+    e.state = plan_.offered()[i] ? policy::EndpointState::active : policy::EndpointState::draining;
     entries.push_back(std::move(e));
   }
-  engine_.tellHosts(kind, entries, [&] {
+  engine_.updateEndpoints(kind, entries, [&] {
     for (std::size_t i = 0; i < servers_.size(); ++i) {
-      const ochrehill::HostId id = engine_.findHost(servers_[i].uid);
-      if (id == ochrehill::kNone) continue;
+      const policy::EndpointId id = engine_.findEndpoint(servers_[i].uid);
+      if (id == policy::kNone) continue;
       serverOf_[id] = i;
-      upstream_.list(id, servers_[i].endpoint, plan_.offered()[i]);
+      upstream_.updateEndpoint(id, servers_[i].endpoint, plan_.offered()[i]);
     }
   });
   planAt();
@@ -146,7 +145,7 @@
   planTimer_.expires_at(clock_.at(*at));
   planTimer_.async_wait(lifetime_.guard([this](error_code ec) {
     if (ec) return;
-    if (plan_.onTime(now())) tell(ListKind::update);
+    if (plan_.onTime(now())) tell(EndpointListKind::update);
     else planAt();
   }));
 }
@@ -213,12 +212,12 @@
       fixed_[at++]->engine().configure(poolSettings(settings, pools[i], callsMost_));
 }
 
-void Pools::answerWithin(ochrehill::Duration left) {
-  for (const auto& pool : fixed_) pool->engine().answerWithin(left);
+void Pools::answerWithin(policy::Duration left) {
+  for (const auto& pool : fixed_) pool->engine().limitTimeRemaining(left);
 }
 
-void Pools::endCallsBeyond(ochrehill::Duration toKill) {
-  for (const auto& pool : fixed_) pool->engine().endCallsBeyond(pool->engine().now() + toKill);
+void Pools::endCallsBeyond(policy::Duration toKill) {
+  for (const auto& pool : fixed_) pool->engine().failCallsPast(pool->engine().now() + toKill);
 }
 
 void Pools::stop() {
@@ -227,7 +226,7 @@
 
 std::size_t Pools::connections() const {
   std::size_t n = 0;
-  for (const auto& pool : fixed_) n += pool->upstream().connections();
+  for (const auto& pool : fixed_) n += pool->upstream().connectionCount();
   return n;
 }
 
--- a/src/app/pools.hpp
+++ b/src/app/pools.hpp
@@ -11,28 +11,28 @@
 #include <string>
 #include <vector>
 
-#include "app/module_clock.hpp"
+#include "app/load_balancer_clock.hpp"
+#include "common/callback_guard.hpp"
 #include "config/config.hpp"
 #include "core/engine.hpp"
 #include "http/routing.hpp"
 #include "http/upstream.hpp"
-#include "lifetime.hpp"
 #include "limits/limiter.hpp"
-#include "pools/budget.hpp"
-#include "pools/plan.hpp"
+#include "pools/passive_health_filter.hpp"
+#include "pools/shared_quota.hpp"
 #include "route/router.hpp"
-#include "upstream/share.hpp"
+#include "upstream/descriptor_quota.hpp"
 
 namespace cairnjunction {
 
 // A pool of fixed addresses.
-class FixedPool final : private Runtime, private DescriptorShare {
+class FixedPool final : private Runtime, private DescriptorQuota {
  public:
   // Looks names of servers up, and waits for it: at the start only. Throws BadConfig for one that has no
   // address.
   FixedPool(boost::asio::io_context& io, const route::Pool& pool, std::size_t index,
-            pools::Budget& descriptors, const HttpUpstream::Limits& limits,
-            const ochrehill::Settings& settings, std::function<void(std::string)> log);
+            pools::SharedQuota& descriptors, const HttpUpstream::Limits& limits,
+            const policy::Settings& settings, std::function<void(std::string)> log);
   ~FixedPool();
   FixedPool(const FixedPool&) = delete;
   FixedPool& operator=(const FixedPool&) = delete;
@@ -48,34 +48,34 @@
     double weight;
   };
 
-  ochrehill::Time now() const override;
-  void wakeAt(ochrehill::Time at) override;
-  void subscribe() override {}
-  void doubtList() override {}
+  policy::Timestamp now() const override;
+  void wakeAt(policy::Timestamp at) override;
+  void pollEndpoints() override {}
+  void requestResync() override {}
   void log(const std::string& line) override { log_(name_ + ": " + line); }
-  bool take() override { return descriptors_.take(index_, 1); }
-  void give() override { descriptors_.give(index_, 1); }
+  bool acquire() override { return descriptors_.take(index_, 1); }
+  void release() override { descriptors_.give(index_, 1); }
 
-  void ended(AttemptEnd end);
-  void tell(ochrehill::ListKind kind);
+  void ended(AttemptOutcome end);
+  void tell(policy::EndpointListKind kind);
   void tellSoon();
   void planAt();
 
   boost::asio::io_context& io_;
-  ModuleClock clock_;
+  LoadBalancerClock clock_;
   std::string name_;
   std::size_t index_;
-  pools::Budget& descriptors_;
+  pools::SharedQuota& descriptors_;
   std::function<void(std::string)> log_;
   std::vector<Server> servers_;
-  pools::Plan plan_;
-  std::map<ochrehill::HostId, std::size_t> serverOf_;
+  pools::PassiveHealthFilter plan_;
+  std::map<policy::EndpointId, std::size_t> serverOf_;
   HttpUpstream upstream_;
   Engine engine_;
   boost::asio::steady_timer waker_, planTimer_;
-  ochrehill::Time wakeAt_{};
+  policy::Timestamp wakeAt_{};
   bool telling_ = false;
-  Lifetime lifetime_;
+  CallbackGuard lifetime_;
 };
 
 class Pools final : public HttpRouting {
@@ -83,7 +83,7 @@
   // `discovered` is the engine of the hosts from discovery, for pools that name it as their source; it must
   // outlive us. `calls`: under way in all. Throws BadConfig.
   Pools(boost::asio::io_context& io, std::shared_ptr<const route::Router> router, Engine& discovered,
-        const HttpUpstream::Limits& limits, const ochrehill::Settings& settings, std::uint64_t calls,
+        const HttpUpstream::Limits& limits, const policy::Settings& settings, std::uint64_t calls,
         std::uint64_t bytes, const std::function<void(std::string)>& log);
 
   const route::Router& router() const override { return *router_; }
@@ -91,10 +91,10 @@
   int admit(const route::Decision& decision, std::uint64_t bytes, Hold& hold) override;
   void over(const Hold& hold) override;
 
-  bool mayConfigure(const ochrehill::Settings& settings) const;
-  void configure(const ochrehill::Settings& settings);
-  void answerWithin(ochrehill::Duration left);      // in a stop, as Engine has it
-  void endCallsBeyond(ochrehill::Duration toKill);  // the same
+  bool mayConfigure(const policy::Settings& settings) const;
+  void configure(const policy::Settings& settings);
+  void answerWithin(policy::Duration left);      // in a stop, as Engine has it
+  void endCallsBeyond(policy::Duration toKill);  // the same
   void stop();
   std::size_t connections() const;
   const std::vector<std::unique_ptr<FixedPool>>& fixed() const { return fixed_; }
@@ -104,7 +104,7 @@
   std::uint64_t callsMost_;       // under way in all; as at the start
   std::vector<Engine*> engines_;  // by pool
   std::map<std::string, std::size_t, std::less<>> indexOf_;
-  pools::Budget descriptors_, calls_, bytes_;
+  pools::SharedQuota descriptors_, calls_, bytes_;
   limits::Limiter limiter_;
   std::vector<std::unique_ptr<FixedPool>> fixed_;
 };
--- a/src/lifetime.hpp
+++ b/src/common/callback_guard.hpp
@@ -7,7 +7,7 @@
 namespace cairnjunction {
 
 // A member of the object: functions that it guards do nothing once it is destroyed.
-class Lifetime {
+class CallbackGuard {
  public:
   template <class Function>
   auto guard(Function function) const {
--- a/src/numbers.hpp
+++ b/src/common/numeric.hpp
@@ -10,9 +10,9 @@
 #include <string_view>
 #include <vector>
 
-#include "ochrehill/ochrehill.hpp"
+#include "cairnjunction/load_balancer.hpp"
 
-namespace ochrehill {
+namespace cairnjunction::policy {
 
 inline double toSeconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 inline Duration scaled(Duration d, double by) {
@@ -43,4 +43,4 @@
   return *nth;
 }
 
-}  // namespace ochrehill
+}  // namespace cairnjunction::policy
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 using nlohmann::json;
-using ochrehill::Duration;
+using policy::Duration;
 
 template <class T>
 void read(const json& object, const char* name, T& into) {
@@ -44,73 +44,73 @@
     throw BadConfig(std::string(name) + ": " + it->dump() + " is no number above 0");
 }
 
-ochrehill::ClassSettings readClass(const json& grade) {
+policy::ClassSettings readClass(const json& grade) {
   if (!grade.is_object()) throw BadConfig("grades: an entry is no object");
   requirePositive(grade, "aimNs");
   requirePositive(grade, "giveUpNs");
-  ochrehill::ClassSettings c;
+  policy::ClassSettings c;
   std::string effect = "fragile", group = "all";
   read(grade, "name", c.name);
-  read(grade, "aimNs", c.aim);
-  read(grade, "giveUpNs", c.giveUp);
-  read(grade, "windowNs", c.window);
-  read(grade, "points", c.worth);
-  read(grade, "lateShare", c.lateShare);
-  read(grade, "aimStretch", c.aimStretch);
-  read(grade, "inTurn", c.inTurn);
+  read(grade, "aimNs", c.latencyObjective);
+  read(grade, "giveUpNs", c.clientTimeout);
+  read(grade, "windowNs", c.dedupWindow);
+  read(grade, "points", c.priorityWeight);
+  read(grade, "lateShare", c.lateValueFraction);
+  read(grade, "aimStretch", c.objectiveCostFactor);
+  read(grade, "inTurn", c.serializedByKey);
   read(grade, "effect", effect);
   read(grade, "group", group);
-  if (effect == "retryable") c.effect = ochrehill::Effect::retryable;
+  if (effect == "retryable") c.idempotency = policy::Idempotency::safe;
   else if (effect == "dedup") {
-    c.effect = ochrehill::Effect::dedup;
+    c.idempotency = policy::Idempotency::keyed;
     // Danger: hosts that drop repeats for no time at all drop none, and the promise would be an empty one.
-    if (c.window <= Duration{})
+    if (c.dedupWindow <= Duration{})
       throw BadConfig("windowNs: class '" + c.name + "' has its repeats dropped, so it needs one above 0");
   } else if (effect != "fragile") throw BadConfig("effect: unknown '" + effect + "'");
-  if (group == "zone") c.group = ochrehill::Group::zone;
-  else if (group == "cell") c.group = ochrehill::Group::cell;
+  if (group == "zone") c.dedupScope = policy::DedupScope::zone;
+  else if (group == "cell") c.dedupScope = policy::DedupScope::cell;
   else if (group != "all") throw BadConfig("group: unknown '" + group + "'");
   std::vector<std::string> names;
-  if (grade.contains("staysIn")) read(grade, "staysIn", names), c.zones = names;
+  if (grade.contains("staysIn")) read(grade, "staysIn", names), c.allowedZones = names;
   names.clear();
-  if (grade.contains("boundTo")) read(grade, "boundTo", names), c.kinds = names;
-  c.giveUp = std::max(c.giveUp, c.aim);
+  if (grade.contains("boundTo")) read(grade, "boundTo", names), c.allowedMachineKinds = names;
+  c.clientTimeout = std::max(c.clientTimeout, c.latencyObjective);
   return c;
 }
 
-ochrehill::Settings readSettings(const json& settings) {
-  ochrehill::Settings s;
+policy::Settings readSettings(const json& settings) {
+  policy::Settings s;
   std::string registryMode, weights;
-  read(settings, "groupSize", s.groupSize);
-  read(settings, "myNumber", s.number);
+  read(settings, "groupSize", s.gatewayCount);
+  read(settings, "myNumber", s.gatewayIndex);
   read(settings, "zone", s.zone);
-  read(settings, "overShareWorth", s.overShareWorth);
+  read(settings, "overShareWorth", s.overQuotaWeightFactor);
   read(settings, "registryMode", registryMode);
   read(settings, "weights", weights);
-  read(settings, "stepNs", s.step);
+  read(settings, "stepNs", s.eventInterval);
   if (!registryMode.empty() && registryMode != "ask" && registryMode != "push")
     throw BadConfig("registryMode: '" + registryMode + "' is neither ask nor push");
-  s.askDiscovery = registryMode == "ask";
-  s.liveWeights = weights == "live";
-  read(part(settings, "domain"), "warmKeys", s.warmKeys);
+  s.pollDiscovery = registryMode == "ask";
+  s.loadReports = weights == "live";
+  read(part(settings, "domain"), "warmKeys", s.keyAffinity);
   const json& ceilings = part(settings, "ceilings");
   requirePositive(ceilings, "connectTimeoutNs");
-  read(ceilings, "retryAfter", s.retryAfter);
-  read(ceilings, "cancel", s.cancel);
+  read(ceilings, "retryAfter", s.retryAfterAllowed);
+  read(ceilings, "cancel", s.cancelAllowed);
   requirePositive(ceilings, "maxAttempts");
   read(ceilings, "maxAttempts", s.maxAttempts);
-  read(ceilings, "idleCloseNs", s.idleClose);
+  read(ceilings, "idleCloseNs", s.idleTimeout);
   read(ceilings, "maxRetryAfterNs", s.maxRetryAfter);
   // A connection carries one request at a time on sockets, whatever the simulator's setting says: with more
   // the module would take a busy connection for a free one.
   s.streamsPerConnection = 1;
   const json& rules = part(settings, "rules");
-  read(rules, "askWithinNs", s.askWithin);
-  read(rules, "coldNs", s.coldTime);
-  read(rules, "coldShare", s.coldShare);
-  read(rules, "fallMultiple", s.fallMultiple);
-  read(rules, "fallNs", s.fallWindow);
-  read(rules, "keyRestNs", s.keyRest);
+  read(rules, "askWithinNs", s.maxPollInterval);
+  read(rules, "coldNs", s.slowStartDuration);
+  read(rules, "coldShare", s.slowStartInitialFraction);
+  read(rules, "fallMultiple", s.collapseLoadFactor);
+  read(rules, "fallNs", s.collapseWindow);
+  read(rules, "keyRestNs", s.keyCooldown);
   const auto grades = settings.find("grades");
   if (grades == settings.end() || !grades->is_array()) throw BadConfig("grades: missing or no list");
   for (const json& grade : *grades) s.classes.push_back(readClass(grade));
@@ -120,7 +120,7 @@
         throw BadConfig("grades: '" + s.classes[i].name + "' stands there twice");
   if (const auto tenants = settings.find("tenants"); tenants != settings.end() && tenants->is_array())
     for (const json& tenant : *tenants) {
-      ochrehill::TenantSettings t;
+      policy::TenantSettings t;
       read(tenant, "name", t.name);
       read(tenant, "quotaRps", t.quotaPerSecond);
       s.tenants.push_back(t);
@@ -214,12 +214,12 @@
   config.connectTimeout = std::chrono::milliseconds(250);
   read(part(part(json, "settings"), "ceilings"), "connectTimeoutNs", config.connectTimeout);
   if (json.contains("known")) try {
-      config.known = parseHostList(json.at("known"));
+      config.known = parseEndpointList(json.at("known"));
     } catch (const std::invalid_argument& bad) {
       throw BadConfig(std::string("known: ") + bad.what());
     }
   try {  // the module judges its own settings
-    ochrehill::Balancer probe(config.module, Duration{});
+    policy::LoadBalancer probe(config.module, Duration{});
   } catch (const std::invalid_argument& bad) {
     throw BadConfig(bad.what());
   }
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -12,8 +12,8 @@
 #include <string_view>
 #include <vector>
 
-#include "discovery/host_list.hpp"
-#include "ochrehill/ochrehill.hpp"
+#include "cairnjunction/load_balancer.hpp"
+#include "discovery/endpoint_list.hpp"
 
 namespace cairnjunction {
 
@@ -30,14 +30,14 @@
 struct Config {
   std::string name;
   tcp::endpoint listen, discovery;
-  std::optional<tcp::endpoint> mgmt;     // the operators' door; absent: none
-  int acceptFd = -1;                     // of the clients' listener, if it was inherited
-  std::size_t sockets = 1024;            // file descriptors that the process may hold
-  std::size_t memoryMb = 192;            // beyond it the process is killed
-  ochrehill::Duration connectTimeout{};  // for a new connection to a host
-  ochrehill::Settings module;            // for the decisions
-  std::optional<HostList> known;         // hosts as last had; may be old
-  ConfigShape shape;                     // of the file
+  std::optional<tcp::endpoint> mgmt;  // the operators' door; absent: none
+  int acceptFd = -1;                  // of the clients' listener, if it was inherited
+  std::size_t sockets = 1024;         // file descriptors that the process may hold
+  std::size_t memoryMb = 192;         // beyond it the process is killed
+  policy::Duration connectTimeout{};  // for a new connection to a host
+  policy::Settings module;            // for the decisions
+  std::optional<EndpointList> known;  // hosts as last had; may be old
+  ConfigShape shape;                  // of the file
 };
 
 using Environment = std::function<const char*(const char*)>;  // as getenv
--- a/src/agreement/durable_file.cpp
+++ b/src/consensus/durable_file.cpp
@@ -1,5 +1,5 @@
 // A small file that is replaced whole.
-#include "agreement/durable_file.hpp"
+#include "consensus/durable_file.hpp"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -7,7 +7,7 @@
 #include <cerrno>
 #include <cstring>
 
-namespace cairnjunction::agreement {
+namespace cairnjunction::consensus {
 namespace {
 
 std::string failed(const std::string& path, const char* what, int error) {
@@ -34,4 +34,4 @@
   return synced ? std::string() : failed(folder, "not synced", why);
 }
 
-}  // namespace cairnjunction::agreement
+}  // namespace cairnjunction::consensus
--- a/src/agreement/durable_file.hpp
+++ b/src/consensus/durable_file.hpp
@@ -3,9 +3,9 @@
 
 #include <string>
 
-namespace cairnjunction::agreement {
+namespace cairnjunction::consensus {
 
 // Synced, with its folder, when it returns. Empty: done. Otherwise what failed, with the path.
 std::string replaceFile(const std::string& folder, const std::string& path, const std::string& text);
 
-}  // namespace cairnjunction::agreement
+}  // namespace cairnjunction::consensus
--- a/src/agreement/raft_log.cpp
+++ b/src/consensus/raft_log.cpp
@@ -1,5 +1,5 @@
 // The log on C raft.
-#include "agreement/raft_log.hpp"
+#include "consensus/raft_log.hpp"
 
 // Its headers include libuv's, which is C++ as well as C, and are themselves C only.
 #include <uv.h>
@@ -14,10 +14,10 @@
 #include <stdexcept>
 #include <utility>
 
-#include "agreement/uv_pump.hpp"
-#include "lifetime.hpp"
+#include "common/callback_guard.hpp"
+#include "consensus/uv_pump.hpp"
 
-namespace cairnjunction::agreement {
+namespace cairnjunction::consensus {
 namespace {
 
 // Of a stop: so long the other keepers have to take over the lead.
@@ -53,7 +53,7 @@
 
 struct Proposal {
   struct raft_apply request {};
-  Log::Done done;
+  ReplicatedLog::Done done;
 };
 
 // The library takes the transport's `data` for itself.
@@ -66,7 +66,7 @@
 
 struct RaftLog::State {
   boost::asio::io_context& io;
-  Machine& machine;
+  StateMachine& machine;
   const RaftOptions options;
   UvPump pump;
   Transport transport{};
@@ -82,9 +82,9 @@
   bool asked = false;     // for the barrier
   bool stopping = false, closing = false, closed = false;
   std::string broken;  // the machine could not take a snapshot
-  Lifetime lifetime;
+  CallbackGuard lifetime;
 
-  State(boost::asio::io_context& loop, const RaftOptions& o, Machine& m)
+  State(boost::asio::io_context& loop, const RaftOptions& o, StateMachine& m)
       : io(loop), machine(m), options(o), pump(loop, [this] { watch(); }), handOver(loop) {
     try {
       start();
@@ -103,8 +103,8 @@
   }
 
   [[noreturn]] void failed(const char* what, int code) {
-    throw BadLog(options.folder + ": " + what + ": " + raft_strerror(code) +
-                 (*raft_errmsg(&raft_) ? std::string(": ") + raft_errmsg(&raft_) : std::string()));
+    throw LogError(options.folder + ": " + what + ": " + raft_strerror(code) +
+                   (*raft_errmsg(&raft_) ? std::string(": ") + raft_errmsg(&raft_) : std::string()));
   }
 
   void start() {
@@ -113,7 +113,7 @@
     if (const int bad = raft_uv_tcp_set_bind_address(&transport, options.listen.c_str()))
       failed("listen", bad);
     // Each keeper may reach the others at addresses of its own, whatever the log's configuration says.
-    transport.keepers = &options.keepers;
+    transport.keepers = &options.voters;
     transport.connectAt = std::exchange(transport.connect, [](raft_uv_transport* t, raft_uv_connect* request,
                                                               raft_id id, const char* address,
                                                               raft_uv_connect_cb done) {
@@ -154,15 +154,15 @@
     if (const int bad = raft_init(&raft_, &disk, &fsm, static_cast<raft_id>(options.number), own.c_str()))
       failed("not begun", bad);
     closed = closing = false;
-    raft_set_election_timeout(&raft_, static_cast<unsigned>(options.election.count()));
-    raft_set_heartbeat_timeout(&raft_, static_cast<unsigned>(options.heartbeat.count()));
-    raft_set_snapshot_threshold(&raft_, options.snapshotEvery);
-    raft_set_snapshot_trailing(&raft_, options.trailing);
+    raft_set_election_timeout(&raft_, static_cast<unsigned>(options.electionTimeout.count()));
+    raft_set_heartbeat_timeout(&raft_, static_cast<unsigned>(options.heartbeatInterval.count()));
+    raft_set_snapshot_threshold(&raft_, options.snapshotThreshold);
+    raft_set_snapshot_trailing(&raft_, options.snapshotTrailing);
     raft_set_pre_vote(&raft_, true);
     raft_configuration voters;
     raft_configuration_init(&voters);
     int bad = 0;
-    for (const auto& [number, at] : options.keepers)
+    for (const auto& [number, at] : options.voters)
       if (!bad)
         bad = raft_configuration_add(&voters, static_cast<raft_id>(number), nameOnTheLog(number).c_str(),
                                      RAFT_VOTER);
@@ -170,7 +170,7 @@
     raft_configuration_close(&voters);
     if (bad && bad != RAFT_CANTBOOTSTRAP) failed("not set up", bad);
     bad = raft_start(&raft_);
-    if (!broken.empty()) throw BadLog(options.folder + ": snapshot: " + broken);
+    if (!broken.empty()) throw LogError(options.folder + ": snapshot: " + broken);
     if (bad) failed("not started", bad);
     pump.touch();
   }
@@ -216,12 +216,12 @@
   }
 };
 
-RaftLog::RaftLog(boost::asio::io_context& io, const RaftOptions& options, Machine& machine)
+RaftLog::RaftLog(boost::asio::io_context& io, const RaftOptions& options, StateMachine& machine)
     : state_(std::make_unique<State>(io, options, machine)) {}
 
 RaftLog::~RaftLog() = default;
 
-bool RaftLog::leads() const { return state_->caughtUp && !state_->stopping; }
+bool RaftLog::isLeader() const { return state_->caughtUp && !state_->stopping; }
 
 int RaftLog::leader() const {
   raft_id id = 0;
@@ -230,10 +230,10 @@
   return static_cast<int>(id);
 }
 
-void RaftLog::onChange(std::function<void()> changed) { state_->changed = std::move(changed); }
+void RaftLog::onLeadershipChange(std::function<void()> changed) { state_->changed = std::move(changed); }
 
 void RaftLog::propose(std::string entry, Done done) {
-  if (!leads() || entry.size() > kEntryMost) return done(false);
+  if (!isLeader() || entry.size() > kEntryMost) return done(false);
   auto proposal = std::make_unique<Proposal>();
   proposal->done = std::move(done);
   proposal->request.data = proposal.get();
@@ -265,4 +265,4 @@
   }));
 }
 
-}  // namespace cairnjunction::agreement
+}  // namespace cairnjunction::consensus
--- a/src/agreement/uv_pump.cpp
+++ b/src/consensus/uv_pump.cpp
@@ -1,12 +1,12 @@
 // Drives a libuv loop from an Asio event loop.
-#include "agreement/uv_pump.hpp"
+#include "consensus/uv_pump.hpp"
 
 #include <unistd.h>
 
 #include <boost/asio/post.hpp>
 #include <stdexcept>
 
-namespace cairnjunction::agreement {
+namespace cairnjunction::consensus {
 using boost::system::error_code;
 
 UvPump::UvPump(boost::asio::io_context& io, std::function<void()> after)
@@ -57,4 +57,4 @@
   after_();
 }
 
-}  // namespace cairnjunction::agreement
+}  // namespace cairnjunction::consensus
--- a/src/agreement/uv_pump.hpp
+++ b/src/consensus/uv_pump.hpp
@@ -9,9 +9,9 @@
 #include <boost/asio/steady_timer.hpp>
 #include <functional>
 
-#include "lifetime.hpp"
+#include "common/callback_guard.hpp"
 
-namespace cairnjunction::agreement {
+namespace cairnjunction::consensus {
 
 class UvPump {
  public:
@@ -35,7 +35,7 @@
   boost::asio::posix::stream_descriptor readable_;
   boost::asio::steady_timer timer_;
   bool touched_ = false;
-  Lifetime lifetime_;
+  CallbackGuard lifetime_;
 };
 
-}  // namespace cairnjunction::agreement
+}  // namespace cairnjunction::consensus
--- a/src/agreement/identity.hpp
+++ b/src/consensus/voter_identity.hpp
@@ -6,35 +6,35 @@
 #include <map>
 #include <string>
 
-#include "agreement/log.hpp"
+#include "consensus/replicated_log.hpp"
 
-namespace cairnjunction::agreement {
+namespace cairnjunction::consensus {
 
-struct Mark {
+struct VoterMark {
   std::uint64_t incarnation = 0;  // drawn once, with the folder
-  std::uint64_t starts = 0;       // of the keeper's process over this folder
-  bool operator==(const Mark&) const = default;
+  std::uint64_t startCount = 0;   // of the keeper's process over this folder
+  bool operator==(const VoterMark&) const = default;
 };
 
-class Identity {
+class VoterIdentity {
  public:
   // Reads the folder's file `identity.toml`, or makes it for a new folder, and counts this start: it is on
   // the disk when this returns. Throws BadLog: no folder, another fleet's or keeper's, a file that can't be
   // read or written.
-  Identity(const std::string& folder, const std::string& fleet, int number);
+  VoterIdentity(const std::string& folder, const std::string& fleet, int number);
 
-  const Mark& own() const { return own_; }
+  const VoterMark& own() const { return own_; }
   // What another keeper tells of itself. Empty: it is who it was, and that is on the disk now. Otherwise why
   // it must not vote. Throws BadLog if the disk fails.
-  std::string judge(int number, const Mark& told);
+  std::string checkPeer(int number, const VoterMark& told);
 
  private:
   void write() const;
 
   std::string folder_, fleet_;
   int number_;
-  Mark own_;
-  std::map<int, Mark> peers_;
+  VoterMark own_;
+  std::map<int, VoterMark> peers_;
 };
 
-}  // namespace cairnjunction::agreement
+}  // namespace cairnjunction::consensus
--- a/src/core/call.hpp
+++ b/src/core/call.hpp
@@ -6,31 +6,31 @@
 #include <functional>
 #include <string>
 
+#include "cairnjunction/load_balancer.hpp"
 #include "core/message.hpp"
-#include "ochrehill/ochrehill.hpp"
 
 namespace cairnjunction {
 
-using CallId = ochrehill::RequestId;  // given out by the engine; never used again
+using CallId = policy::RequestId;  // given out by the engine; never used again
 
 struct Call {
-  std::string name;          // as workers are told it; no two open calls have the same
-  std::string key;           // by which workers drop repeats; empty: none
-  ochrehill::Request facts;  // for the decisions; its id is the engine's to set
+  std::string externalId;      // as workers are told it; no two open calls have the same
+  std::string idempotencyKey;  // by which workers drop repeats; empty: none
+  policy::Request attributes;  // for the decisions; its id is the engine's to set
   Message message;
-  bool streams = false;  // its front can pass on an answer with Message::rest
+  bool acceptsStreaming = false;  // its front can pass on an answer with Message::rest
 };
 
-enum class Verdict {
-  served,   // the message is the worker's answer to this call
-  refused,  // the same call again does no harm
-  failed    // nothing is promised: it may have run
+enum class ReplyStatus {
+  ok,        // the message is the worker's answer to this call
+  rejected,  // the same call again does no harm
+  failed     // nothing is promised: it may have run
 };
 
 struct Reply {
-  Verdict verdict = Verdict::failed;
-  Message message;                   // whole, with Verdict::served
-  ochrehill::Duration retryAfter{};  // with Verdict::refused; 0 = nothing to say
+  ReplyStatus status = ReplyStatus::failed;
+  Message message;                // whole, with Verdict::served
+  policy::Duration retryAfter{};  // with Verdict::refused; 0 = nothing to say
 };
 
 // The front's end. `ticket` is what the front gave when it handed the call in. Called once for each call that
@@ -55,33 +55,33 @@
   }
 };
 
-struct AttemptEnd {
+struct AttemptOutcome {
   AttemptKey key;
-  ochrehill::HostId host = ochrehill::kNone;
-  ochrehill::Outcome outcome = ochrehill::Outcome::reset;
-  ochrehill::Duration taken{};
-  Message answer;  // whole, with Outcome::served
+  policy::EndpointId endpoint = policy::kNone;
+  policy::Outcome outcome = policy::Outcome::reset;
+  policy::Duration elapsed{};
+  Message response;  // whole, with Outcome::served
   // What the pool knows beside: why, and on which connection.
-  ochrehill::Fault fault = ochrehill::Fault::unknown;
-  ochrehill::Carrier carrier = ochrehill::Carrier::unknown;
-  bool kept = false;
+  policy::FailureReason failureReason = policy::FailureReason::unknown;
+  policy::ConnectionUse connectionUse = policy::ConnectionUse::unknown;
+  bool connectionKept = false;
 };
 
 // An attempt whose answer is passed on while it comes, told as served when that begins; how it came to its
 // end is told after that as the end of every attempt is. Only for calls with Call::streams.
-using AnswerStarted = std::function<void(AttemptEnd)>;
+using ResponseStarted = std::function<void(AttemptOutcome)>;
 
-struct HostConnections {
-  std::uint32_t open = 0;  // established or being opened, and not passing on an answer
-  std::uint32_t up = 0;    // established
+struct EndpointConnections {
+  std::uint32_t open = 0;         // established or being opened, and not passing on an answer
+  std::uint32_t established = 0;  // established
 };
 
 // How long an attempt may take, counted from its start.
-struct AttemptLimits {
-  AttemptLimits(ochrehill::Duration answerBy, ochrehill::Duration writtenBy = ochrehill::Duration::max())
-      : answer(answerBy), written(writtenBy) {}
-  ochrehill::Duration answer;   // > 0: it ends by Outcome::timeout then
-  ochrehill::Duration written;  // what is not written to its last byte by then never is, and never ran
+struct AttemptTimeouts {
+  AttemptTimeouts(policy::Duration answerBy, policy::Duration writtenBy = policy::Duration::max())
+      : response(answerBy), write(writtenBy) {}
+  policy::Duration response;  // > 0: it ends by Outcome::timeout then
+  policy::Duration write;     // what is not written to its last byte by then never is, and never ran
 };
 
 // Carries out what it is told and sends nothing again by itself. Each attempt that was started ends exactly
@@ -91,14 +91,15 @@
  public:
   virtual ~Upstream() = default;
   // `call` is valid until the attempt has ended.
-  virtual void start(AttemptKey key, ochrehill::HostId host, const Call& call,
-                     const AttemptLimits& limits) = 0;
+  virtual void start(AttemptKey key, policy::EndpointId host, const Call& call,
+                     const AttemptTimeouts& limits) = 0;
   virtual void cancel(AttemptKey key) = 0;
   // Its client left. Taken back if it is not written to its last byte (it never ran), whether or not attempts
   // may be cancelled; otherwise it goes on.
-  virtual void withdraw(AttemptKey key) = 0;
-  virtual void closeIdle(ochrehill::HostId host) = 0;
-  virtual void forget(ochrehill::HostId host) = 0;  // gone, with no attempt out: its id may be given out anew
+  virtual void cancelIfUnsent(AttemptKey key) = 0;
+  virtual void closeIdle(policy::EndpointId host) = 0;
+  virtual void forget(
+      policy::EndpointId host) = 0;  // gone, with no attempt out: its id may be given out anew
 };
 
 }  // namespace cairnjunction
--- a/src/core/class_table.cpp
+++ b/src/core/class_table.cpp
@@ -7,13 +7,14 @@
 
 namespace cairnjunction {
 
-using ochrehill::ClassSettings;
+using policy::ClassSettings;
 
 namespace {
 
 auto all(const ClassSettings& c) {
-  return std::tie(c.name, c.aim, c.giveUp, c.window, c.effect, c.group, c.worth, c.lateShare, c.aimStretch,
-                  c.inTurn, c.zones, c.kinds);
+  return std::tie(c.name, c.latencyObjective, c.clientTimeout, c.dedupWindow, c.idempotency, c.dedupScope,
+                  c.priorityWeight, c.lateValueFraction, c.objectiveCostFactor, c.serializedByKey,
+                  c.allowedZones, c.allowedMachineKinds);
 }
 
 }  // namespace
--- a/src/core/class_table.hpp
+++ b/src/core/class_table.hpp
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "ochrehill/ochrehill.hpp"
+#include "cairnjunction/load_balancer.hpp"
 
 namespace cairnjunction {
 
@@ -21,20 +21,18 @@
   // Far more than any deployment has; each host keeps a figure for each.
   static constexpr std::size_t kMost = 256;
 
-  explicit ClassTable(std::vector<ochrehill::ClassSettings> classes);
+  explicit ClassTable(std::vector<policy::ClassSettings> classes);
 
   // What the table would be with these classes, whose names must differ. `held` tells whether a call holds an
   // index. Nothing, if there are more than kMost with those that are held.
-  std::optional<ClassTable> with(const std::vector<ochrehill::ClassSettings>& classes,
+  std::optional<ClassTable> with(const std::vector<policy::ClassSettings>& classes,
                                  const std::function<bool(std::uint32_t)>& held) const;
 
-  const std::vector<ochrehill::ClassSettings>& byIndex() const {
-    return byIndex_;
-  }  // also those that are over
+  const std::vector<policy::ClassSettings>& byIndex() const { return byIndex_; }  // also those that are over
   const ClassIndexes& current() const { return current_; }
 
  private:
-  std::vector<ochrehill::ClassSettings> byIndex_;
+  std::vector<policy::ClassSettings> byIndex_;
   ClassIndexes current_;
 };
 
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "discovery/discovery.hpp"
+#include "discovery/discovery_client.hpp"
 
 #include <algorithm>
 #include <string>
@@ -23,28 +23,28 @@
 
 }  // namespace
 
-Discovery::Waits Discovery::Waits::forAgent() const {
-  Waits waits = *this;
+DiscoveryClient::Timeouts DiscoveryClient::Timeouts::forAgent() const {
+  Timeouts waits = *this;
   waits.connect = std::min(connect, kAgentAnswer);
-  waits.answer = std::min(answer, kAgentAnswer);
-  waits.retryFirst = waits.retryMost = std::min(retryFirst, kAgentRetry);
+  waits.response = std::min(response, kAgentAnswer);
+  waits.retryInitialBackoff = waits.retryMaxBackoff = std::min(retryInitialBackoff, kAgentRetry);
   return waits;
 }
 
-Discovery::Discovery(asio::io_context& io, tcp::endpoint server, Callbacks callbacks, const Waits& waits,
-                     Mode mode)
+DiscoveryClient::DiscoveryClient(asio::io_context& io, tcp::endpoint server, Callbacks callbacks,
+                                 const Timeouts& waits, ListSource mode)
     : io_(io),
       server_(std::move(server)),
       callbacks_(std::move(callbacks)),
-      waits_(mode == Mode::pushed ? waits.forAgent() : waits),
+      waits_(mode == ListSource::pushed ? waits.forAgent() : waits),
       mode_(mode),
       promise_(io),
       resync_(io),
       move_(io) {}
 
-Discovery::~Discovery() { stop(); }
+DiscoveryClient::~DiscoveryClient() { stop(); }
 
-void Discovery::stop() {
+void DiscoveryClient::stop() {
   endWatch();
   end(resync_);
   end(move_);  // next_ stays: the next watch is on the new server
@@ -52,7 +52,7 @@
 
 // --- The watch ------------------------------------------------------------------------------------------
 
-void Discovery::watch() {
+void DiscoveryClient::watch() {
   if (next_) {
     if (!move_.on) tryMove();
     return;
@@ -64,20 +64,22 @@
   callWatch(version_ ? Kind::first : Kind::list);
 }
 
-void Discovery::callWatch(Kind kind) {
-  begin(watch_, server_, kind, [this, kind](const ListCall::Result& result) { watchEnded(kind, result); });
+void DiscoveryClient::callWatch(Kind kind) {
+  begin(watch_, server_, kind,
+        [this, kind](const EndpointListCall::Result& result) { watchEnded(kind, result); });
 }
 
-void Discovery::begin(CallPtr& call, const tcp::endpoint& server, Kind kind, ListCall::Ended ended) {
-  if (!call || !call->reusable()) call = std::make_shared<ListCall>(io_, server);
-  const milliseconds wait = kind == Kind::next ? draw(waits_.watchLeast, waits_.watchMost) : kNoWait;
+void DiscoveryClient::begin(CallPtr& call, const tcp::endpoint& server, Kind kind,
+                            EndpointListCall::Ended ended) {
+  if (!call || !call->reusable()) call = std::make_shared<EndpointListCall>(io_, server);
+  const milliseconds wait = kind == Kind::next ? draw(waits_.watchMin, waits_.watchMax) : kNoWait;
   std::string target = kPath;
   if (kind != Kind::list)
     target += "?since=" + std::to_string(*version_) + "&timeout_ms=" + std::to_string(wait.count());
-  call->start(target, waits_.connect, wait + (kind == Kind::next ? waits_.watchOver : waits_.answer),
+  call->start(target, waits_.connect, wait + (kind == Kind::next ? waits_.staleWatchLinger : waits_.response),
               std::move(ended));
   if (kind != Kind::next) return;
-  promise_.expires_after(wait + waits_.late);
+  promise_.expires_after(wait + waits_.watchGrace);
   promise_.async_wait(lifetime_.guard([this, mine = ++promiseTurn_](error_code ec) {
     if (!ec && mine == promiseTurn_) overdue();
   }));
@@ -85,28 +87,28 @@
 
 // `call` has brought `list`, and carries the watch from now on. Danger: the next call of a watch has to come
 // at once, so it goes before what is told of the list.
-void Discovery::watchOn(CallPtr call, const HostList& list, bool tell) {
+void DiscoveryClient::watchOn(CallPtr call, const EndpointList& list, bool tell) {
   endWatch();
   end(resync_);
   watch_ = std::move(call);
   version_ = list.version;
   state_ = State::waiting;
   callWatch(Kind::next);
-  if (tell) callbacks_.told(list);
+  if (tell) callbacks_.onEndpoints(list);
 }
 
-void Discovery::watchEnded(Kind kind, const ListCall::Result& result) {
+void DiscoveryClient::watchEnded(Kind kind, const EndpointListCall::Result& result) {
   const CallPtr call = std::exchange(watch_, nullptr);
   endWatch();
   if (!result.list) {
     if (move_.on) return;  // what the new server says is all that counts
     if (resync_.on) {
-      resync_.untilAnswered |= result.silent || mode_ == Mode::pushed;
+      resync_.untilAnswered |= result.silent || mode_ == ListSource::pushed;
       return;
     }
-    return result.silent || mode_ == Mode::pushed ? resync() : callbacks_.failed();
+    return result.silent || mode_ == ListSource::pushed ? resync() : callbacks_.onWatchFailed();
   }
-  const HostList& list = *result.list;
+  const EndpointList& list = *result.list;
   if (fromThePast(list) || (kind == Kind::list && !list.full)) {
     call->giveUp();
     return move_.on ? void() : beginAnew();
@@ -115,19 +117,19 @@
 }
 
 // Only a whole list can help.
-void Discovery::beginAnew() {
+void DiscoveryClient::beginAnew() {
   version_.reset();
   end(resync_);
-  if (mode_ == Mode::pushed) resync();
-  else callbacks_.failed();
+  if (mode_ == ListSource::pushed) resync();
+  else callbacks_.onWatchFailed();
 }
 
-void Discovery::overdue() {
+void DiscoveryClient::overdue() {
   state_ = State::overdue;
   if (!next_) resync();
 }
 
-void Discovery::endWatch() {
+void DiscoveryClient::endWatch() {
   ++promiseTurn_;
   promise_.cancel();
   giveUp(watch_);
@@ -136,24 +138,24 @@
 
 // --- Beside the watch -------------------------------------------------------------------------------------
 
-void Discovery::verify() {
+void DiscoveryClient::refresh() {
   if (next_ || resync_.on || state_ != State::waiting) return;
   resync_.on = true;
   tryResync(Kind::list);
 }
 
-void Discovery::resync() {
+void DiscoveryClient::resync() {
   resync_.untilAnswered = true;
   if (std::exchange(resync_.on, true)) return;  // one that verifies: from now on it is the only hope
   tryResync(version_ ? Kind::first : Kind::list);
 }
 
-void Discovery::tryResync(Kind kind) {
+void DiscoveryClient::tryResync(Kind kind) {
   begin(resync_.call, server_, kind,
-        [this, kind](const ListCall::Result& result) { resyncEnded(kind, result); });
+        [this, kind](const EndpointListCall::Result& result) { resyncEnded(kind, result); });
 }
 
-void Discovery::resyncEnded(Kind kind, const ListCall::Result& result) {
+void DiscoveryClient::resyncEnded(Kind kind, const EndpointListCall::Result& result) {
   const bool past = result.list && fromThePast(*result.list);
   if (!result.list || past || (kind == Kind::list && !result.list->full)) {
     giveUp(resync_.call);
@@ -161,9 +163,9 @@
     if (resync_.untilAnswered)
       return retry(resync_, [this] { tryResync(version_ ? Kind::first : Kind::list); });
     end(resync_);
-    return state_ == State::off ? callbacks_.failed() : callbacks_.verifyFailed();
+    return state_ == State::off ? callbacks_.onWatchFailed() : callbacks_.onRefreshFailed();
   }
-  const HostList& list = *result.list;
+  const EndpointList& list = *result.list;
   const bool newer = !version_ || list.version > *version_;
   // Danger: while the watch is on, a whole list that is no newer than ours may come from the past. Without
   // one, or if it has broken, it is all there is.
@@ -174,7 +176,7 @@
 // --- Another server
 // -----------------------------------------------------------------------------------------
 
-void Discovery::moveTo(const tcp::endpoint& server) {
+void DiscoveryClient::moveTo(const tcp::endpoint& server) {
   if (server == (next_ ? *next_ : server_)) return;
   next_ = server;
   end(resync_);
@@ -182,13 +184,14 @@
   tryMove();
 }
 
-void Discovery::tryMove() {
+void DiscoveryClient::tryMove() {
   move_.on = true;
-  begin(move_.call, *next_, Kind::list, [this](const ListCall::Result& result) { moveEnded(result); });
+  begin(move_.call, *next_, Kind::list,
+        [this](const EndpointListCall::Result& result) { moveEnded(result); });
 }
 
 // Until it is answered the hosts that we hold stay, and the old watch while it lasts.
-void Discovery::moveEnded(const ListCall::Result& result) {
+void DiscoveryClient::moveEnded(const EndpointListCall::Result& result) {
   if (!result.list || !result.list->full) {
     giveUp(move_.call);
     return retry(move_, [this] { tryMove(); });
@@ -204,10 +207,10 @@
 
 // Danger: all gateways see a discovery that fails at the same moment, and it works through a call at a time;
 // so each draws when it comes again.
-void Discovery::retry(Tries& tries, std::function<void()> again) {
-  callbacks_.tryFailed();
-  const auto grown = waits_.retryFirst * (std::int64_t{1} << std::min(tries.failed++, kDoublings));
-  const milliseconds pause = std::min<milliseconds>(grown, waits_.retryMost);
+void DiscoveryClient::retry(RetryingCall& tries, std::function<void()> again) {
+  callbacks_.onRetryFailed();
+  const auto grown = waits_.retryInitialBackoff * (std::int64_t{1} << std::min(tries.failed++, kDoublings));
+  const milliseconds pause = std::min<milliseconds>(grown, waits_.retryMaxBackoff);
   tries.pause.expires_after(draw(pause / 2, pause + pause / 2));
   tries.pause.async_wait(
       lifetime_.guard([&tries, again = std::move(again), mine = ++tries.turn](error_code ec) {
@@ -215,7 +218,7 @@
       }));
 }
 
-void Discovery::end(Tries& tries) {
+void DiscoveryClient::end(RetryingCall& tries) {
   ++tries.turn;
   tries.pause.cancel();
   giveUp(tries.call);
@@ -223,11 +226,11 @@
   tries.failed = 0;
 }
 
-void Discovery::giveUp(CallPtr& call) {
+void DiscoveryClient::giveUp(CallPtr& call) {
   if (const CallPtr over = std::exchange(call, nullptr)) over->giveUp();
 }
 
-milliseconds Discovery::draw(milliseconds least, milliseconds most) {
+milliseconds DiscoveryClient::draw(milliseconds least, milliseconds most) {
   if (most <= least) return least;
   return milliseconds(std::uniform_int_distribution<std::int64_t>(least.count(), most.count())(random_));
 }
--- a/src/discovery/discovery.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -21,45 +21,46 @@
 #include <optional>
 #include <random>
 
-#include "discovery/host_list.hpp"
-#include "discovery/list_call.hpp"
-#include "lifetime.hpp"
+#include "common/callback_guard.hpp"
+#include "discovery/endpoint_list.hpp"
+#include "discovery/endpoint_list_call.hpp"
 
 namespace cairnjunction {
 
-class Discovery {
+class DiscoveryClient {
  public:
   using Milliseconds = std::chrono::milliseconds;
 
   // None is called from within watch(), moveTo(), verify() or stop().
   struct Callbacks {
-    std::function<void(const HostList&)> told;
-    std::function<void()> failed;                // the watch is over, and nothing is asked before watch()
-    std::function<void()> verifyFailed = [] {};  // the watch goes on, and the call beside it was not answered
-    std::function<void()> tryFailed = [] {};     // of a resync or a move: there will be another
+    std::function<void(const EndpointList&)> onEndpoints;
+    std::function<void()> onWatchFailed;  // the watch is over, and nothing is asked before watch()
+    std::function<void()> onRefreshFailed = [] {
+    };  // the watch goes on, and the call beside it was not answered
+    std::function<void()> onRetryFailed = [] {};  // of a resync or a move: there will be another
   };
-  struct Waits {
-    Milliseconds watchLeast{1000}, watchMost{2000};  // a watch waits for a time between these;
-    Milliseconds late{250};                          // silent for so much longer, it has broken,
-    Milliseconds watchOver{2000};                    // and then it may still be answered for so long
-    Milliseconds connect{500};                       // for a connection to discovery to come up,
-    Milliseconds answer{2250};                       // and for a call that does not wait, with it
+  struct Timeouts {
+    Milliseconds watchMin{1000}, watchMax{2000};  // a watch waits for a time between these;
+    Milliseconds watchGrace{250};                 // silent for so much longer, it has broken,
+    Milliseconds staleWatchLinger{2000};          // and then it may still be answered for so long
+    Milliseconds connect{500};                    // for a connection to discovery to come up,
+    Milliseconds response{2250};                  // and for a call that does not wait, with it
     // Between two tries of a resync: this, doubled with each up to the most, drawn from half to one and a
     // half of it.
-    Milliseconds retryFirst{100}, retryMost{800};
+    Milliseconds retryInitialBackoff{100}, retryMaxBackoff{800};
 
     // Where lists are pushed, by an agent on the same machine, which answers at once or not at all.
-    Waits forAgent() const;
+    Timeouts forAgent() const;
   };
-  enum class Mode { asked, pushed };
+  enum class ListSource { polled, pushed };
 
-  Discovery(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint server, Callbacks callbacks,
-            const Waits& waits, Mode mode = Mode::asked);
-  ~Discovery();
-  Discovery(const Discovery&) = delete;
-  Discovery& operator=(const Discovery&) = delete;
+  DiscoveryClient(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint server, Callbacks callbacks,
+                  const Timeouts& waits, ListSource mode = ListSource::polled);
+  ~DiscoveryClient();
+  DiscoveryClient(const DiscoveryClient&) = delete;
+  DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
-  void knows(std::int64_t version) { version_ = version; }  // of the list held already
+  void setKnownVersion(std::int64_t version) { version_ = version; }  // of the list held already
   // Begins a watch; one that is on is given up. Ignored while a resync or a move is under way, which end in
   // one.
   void watch();
@@ -67,13 +68,13 @@
   void moveTo(const boost::asio::ip::tcp::endpoint& server);
   // What is seen of the hosts contradicts the list: the whole one is asked for beside the watch. Ignored
   // while that, a resync or a move is under way, or no watch is on.
-  void verify();
+  void refresh();
   void stop();
   // A watch has broken, and since then no answer has come: changes may have been missed.
   bool stale() const { return state_ == State::overdue || (resync_.on && resync_.untilAnswered); }
 
  private:
-  using CallPtr = std::shared_ptr<ListCall>;
+  using CallPtr = std::shared_ptr<EndpointListCall>;
   enum class Kind {
     list,   // the whole one
     first,  // of a watch: does not wait, so that the module hears at once that it is on
@@ -86,8 +87,8 @@
     overdue   // that one is silent past its wait
   };
   // A call that is tried again until it is answered.
-  struct Tries {
-    explicit Tries(boost::asio::io_context& io) : pause(io) {}
+  struct RetryingCall {
+    explicit RetryingCall(boost::asio::io_context& io) : pause(io) {}
     CallPtr call;
     boost::asio::steady_timer pause;
     bool on = false, untilAnswered = false;
@@ -95,39 +96,42 @@
     std::uint64_t turn = 0;  // of the pause: one that is already over when it is ended is told by it
   };
 
-  void begin(CallPtr& call, const boost::asio::ip::tcp::endpoint& server, Kind kind, ListCall::Ended ended);
+  void begin(CallPtr& call, const boost::asio::ip::tcp::endpoint& server, Kind kind,
+             EndpointListCall::Ended ended);
   void callWatch(Kind kind);
-  void watchOn(CallPtr call, const HostList& list, bool tell);
-  void watchEnded(Kind kind, const ListCall::Result& result);
+  void watchOn(CallPtr call, const EndpointList& list, bool tell);
+  void watchEnded(Kind kind, const EndpointListCall::Result& result);
   void overdue();
   void endWatch();
   void beginAnew();
   void resync();
   void tryResync(Kind kind);
-  void resyncEnded(Kind kind, const ListCall::Result& result);
+  void resyncEnded(Kind kind, const EndpointListCall::Result& result);
   void tryMove();
-  void moveEnded(const ListCall::Result& result);
-  void retry(Tries& tries, std::function<void()> again);
-  static void end(Tries& tries);
+  void moveEnded(const EndpointListCall::Result& result);
+  void retry(RetryingCall& tries, std::function<void()> again);
+  static void end(RetryingCall& tries);
   static void giveUp(CallPtr& call);
   Milliseconds draw(Milliseconds least, Milliseconds most);
   // Discovery that was set up anew counts from the start, and so what it tells are no changes to our list.
-  bool fromThePast(const HostList& list) const { return !list.full && version_ && list.version < *version_; }
+  bool fromThePast(const EndpointList& list) const {
+    return !list.full && version_ && list.version < *version_;
+  }
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint server_;
   Callbacks callbacks_;
-  const Waits waits_;
-  const Mode mode_;
+  const Timeouts waits_;
+  const ListSource mode_;
   std::minstd_rand random_{std::random_device{}()};  // another one at each gateway, whatever it was told
   std::optional<std::int64_t> version_;
   State state_ = State::off;
   CallPtr watch_;
   boost::asio::steady_timer promise_;
   std::uint64_t promiseTurn_ = 0;
-  Tries resync_, move_;
+  RetryingCall resync_, move_;
   std::optional<boost::asio::ip::tcp::endpoint> next_;  // the server to move to
-  Lifetime lifetime_;                                   // of what the event loop is still to call
+  CallbackGuard lifetime_;                              // of what the event loop is still to call
 };
 
 }  // namespace cairnjunction
--- a/src/discovery/host_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -1,4 +1,4 @@
-#include "discovery/host_list.hpp"
+#include "discovery/endpoint_list.hpp"
 
 #include <boost/asio/ip/address.hpp>
 #include <charconv>
@@ -25,29 +25,29 @@
   return at.address().to_string() + ":" + std::to_string(at.port());
 }
 
-HostList parseHostList(const nlohmann::json& json) {
+EndpointList parseEndpointList(const nlohmann::json& json) {
   try {
-    HostList list;
+    EndpointList list;
     list.version = json.at("rev").get<std::int64_t>();
     list.full = json.value("all", false);
     for (const auto& target : json.at("targets")) {
-      ListedHost host;
+      DiscoveredEndpoint host;
       host.uid = target.at("uid").get<std::string>();
       if (host.uid.empty()) throw std::invalid_argument("a host has no uid");
       const auto state = target.at("state").get<std::string>();
-      if (state == "SERVING") host.state = HostState::serving;
-      else if (state == "DRAINING") host.state = HostState::draining;
-      else if (state == "DELETED") host.state = HostState::gone;
+      if (state == "SERVING") host.state = DiscoveredState::serving;
+      else if (state == "DRAINING") host.state = DiscoveredState::draining;
+      else if (state == "DELETED") host.state = DiscoveredState::gone;
       else throw std::invalid_argument("unknown state '" + state + "'");
       // One that is gone needs no address.
-      if (host.state != HostState::gone || target.contains("endpoint"))
+      if (host.state != DiscoveredState::gone || target.contains("endpoint"))
         host.endpoint = parseEndpoint(target.at("endpoint").get<std::string>());
       host.zone = target.value("az", std::string());
-      host.kind = target.value("model", std::string());
+      host.machineKind = target.value("model", std::string());
       host.cell = target.value("pod_group", std::int64_t{0});
       host.weight = target.value("capacity_hint", 1.0);
       host.bootMs = target.value("boot_ms", std::int64_t{0});
-      list.hosts.push_back(std::move(host));
+      list.endpoints.push_back(std::move(host));
     }
     return list;
   } catch (const nlohmann::json::exception& bad) {
@@ -55,17 +55,17 @@
   }
 }
 
-nlohmann::json toJson(const HostList& list) {
+nlohmann::json toJson(const EndpointList& list) {
   nlohmann::json targets = nlohmann::json::array();
-  for (const ListedHost& host : list.hosts)
+  for (const DiscoveredEndpoint& host : list.endpoints)
     targets.push_back({{"uid", host.uid},
                        {"endpoint", textOf(host.endpoint)},
                        {"az", host.zone},
-                       {"model", host.kind},
+                       {"model", host.machineKind},
                        {"pod_group", host.cell},
-                       {"state", host.state == HostState::serving    ? "SERVING"
-                                 : host.state == HostState::draining ? "DRAINING"
-                                                                     : "DELETED"},
+                       {"state", host.state == DiscoveredState::serving    ? "SERVING"
+                                 : host.state == DiscoveredState::draining ? "DRAINING"
+                                                                           : "DELETED"},
                        {"capacity_hint", host.weight},
                        {"boot_ms", host.bootMs}});
   return {{"rev", list.version}, {"all", list.full}, {"targets", std::move(targets)}};
--- a/src/discovery/host_list.hpp
+++ b/src/discovery/endpoint_list.hpp
@@ -10,28 +10,28 @@
 
 namespace cairnjunction {
 
-enum class HostState { serving, draining, gone };
+enum class DiscoveredState { serving, draining, gone };
 
-struct ListedHost {
+struct DiscoveredEndpoint {
   std::string uid;  // the same at every gateway, unlike the endpoint
   boost::asio::ip::tcp::endpoint endpoint;
-  std::string zone, kind;
+  std::string zone, machineKind;
   std::int64_t cell = 0;
-  HostState state = HostState::serving;
+  DiscoveredState state = DiscoveredState::serving;
   double weight = 1;
   std::int64_t bootMs = 0;  // Unix time; 0 = long ago
 };
 
-struct HostList {
+struct EndpointList {
   std::int64_t version = 0;
   bool full = false;  // what is missing is gone; else changes only
-  std::vector<ListedHost> hosts;
+  std::vector<DiscoveredEndpoint> endpoints;
 };
 
-nlohmann::json toJson(const HostList& list);  // in discovery's form, as parseHostList reads it
+nlohmann::json toJson(const EndpointList& list);  // in discovery's form, as parseHostList reads it
 
 // Both throw std::invalid_argument on nonsense.
-HostList parseHostList(const nlohmann::json& json);
+EndpointList parseEndpointList(const nlohmann::json& json);
 boost::asio::ip::tcp::endpoint parseEndpoint(std::string_view text);  // "127.0.0.1:8080"
 std::string textOf(const boost::asio::ip::tcp::endpoint& at);         // and back
 
--- a/src/discovery/list_call.cpp
+++ b/src/discovery/endpoint_list_call.cpp
@@ -1,4 +1,4 @@
-#include "discovery/list_call.hpp"
+#include "discovery/endpoint_list_call.hpp"
 
 #include <algorithm>
 #include <boost/beast/http/read.hpp>
@@ -17,11 +17,11 @@
 
 constexpr std::uint64_t kListMost = 4 << 20;  // bytes of one list: some ten thousand hosts
 
-std::optional<HostList> listIn(const std::string& body) {
+std::optional<EndpointList> listIn(const std::string& body) {
   const auto json = nlohmann::json::parse(body, nullptr, false);
   if (json.is_discarded()) return std::nullopt;
   try {
-    return parseHostList(json);
+    return parseEndpointList(json);
   } catch (const std::invalid_argument&) {  // nonsense is no list
     return std::nullopt;
   }
@@ -29,11 +29,11 @@
 
 }  // namespace
 
-ListCall::ListCall(boost::asio::io_context& io, tcp::endpoint server)
+EndpointListCall::EndpointListCall(boost::asio::io_context& io, tcp::endpoint server)
     : server_(std::move(server)), socket_(io), timer_(io) {}
 
-void ListCall::start(const std::string& target, std::chrono::milliseconds connect,
-                     std::chrono::milliseconds most, Ended ended) {
+void EndpointListCall::start(const std::string& target, std::chrono::milliseconds connect,
+                             std::chrono::milliseconds most, Ended ended) {
   ended_ = std::move(ended);
   request_ = {http::verb::get, target, 11};
   request_.set(http::field::host, textOf(server_));
@@ -56,7 +56,7 @@
   });
 }
 
-void ListCall::giveUp() {
+void EndpointListCall::giveUp() {
   ended_ = nullptr;
   ++turn_;
   timer_.cancel();
@@ -64,14 +64,14 @@
   socket_.close(ignored);
 }
 
-void ListCall::limit(Clock::time_point at) {
+void EndpointListCall::limit(Clock::time_point at) {
   timer_.expires_at(at);
   timer_.async_wait([self = shared_from_this(), mine = ++turn_](error_code ec) {
     if (!ec && self->ended_ && mine == self->turn_) self->finish({std::nullopt, true});
   });
 }
 
-void ListCall::write() {
+void EndpointListCall::write() {
   http::async_write(socket_, request_, [self = shared_from_this()](error_code ec, std::size_t) {
     if (!self->ended_) return;
     if (ec) return self->finish({});
@@ -80,13 +80,13 @@
   });
 }
 
-void ListCall::answered(error_code ec) {
+void EndpointListCall::answered(error_code ec) {
   if (!ended_) return;
   const bool good = !ec && parser_->get().result() == http::status::ok;
   finish({good ? listIn(parser_->get().body()) : std::nullopt});
 }
 
-void ListCall::finish(const Result& result) {
+void EndpointListCall::finish(const Result& result) {
   ++turn_;
   timer_.cancel();
   error_code ignored;
--- a/src/discovery/list_call.hpp
+++ b/src/discovery/endpoint_list_call.hpp
@@ -17,19 +17,19 @@
 #include <optional>
 #include <string>
 
-#include "discovery/host_list.hpp"
+#include "discovery/endpoint_list.hpp"
 
 namespace cairnjunction {
 
-class ListCall : public std::enable_shared_from_this<ListCall> {
+class EndpointListCall : public std::enable_shared_from_this<EndpointListCall> {
  public:
   struct Result {
-    std::optional<HostList> list;  // absent: turned away, broken, silent, or not to be read
-    bool silent = false;           // nothing was heard in the time for it
+    std::optional<EndpointList> list;  // absent: turned away, broken, silent, or not to be read
+    bool silent = false;               // nothing was heard in the time for it
   };
   using Ended = std::function<void(const Result&)>;  // may begin the next call, or destroy its owner
 
-  ListCall(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint server);
+  EndpointListCall(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint server);
 
   // GETs `target`. Connects first where there is no connection: that may take `connect`, the whole call
   // `most`. `ended` is called once, never from within this, and not at all after giveUp(). The connection
--- a/src/fleet/control.cpp
+++ b/src/fleet/admin_socket.cpp
@@ -1,5 +1,5 @@
 // The operators' way to a keeper.
-#include "fleet/control.hpp"
+#include "fleet/admin_socket.hpp"
 
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -16,7 +16,7 @@
 using boost::system::error_code;
 using nlohmann::json;
 
-struct Control::Caller {
+struct AdminSocket::Caller {
   stream_protocol::socket socket;
   boost::asio::steady_timer timer;
   std::function<void()> over;  // its end, whichever way, makes room for another one
@@ -27,7 +27,7 @@
   ~Caller() { over(); }
 };
 
-Control::Control(boost::asio::io_context& io, const std::string& path, Answer answer)
+AdminSocket::AdminSocket(boost::asio::io_context& io, const std::string& path, Answer answer)
     : path_(path), acceptor_(io), answer_(std::move(answer)) {
   ::unlink(path.c_str());
   // Nobody else may connect, from the first moment on.
@@ -41,9 +41,9 @@
   accept();
 }
 
-Control::~Control() { ::unlink(path_.c_str()); }
+AdminSocket::~AdminSocket() { ::unlink(path_.c_str()); }
 
-void Control::accept() {
+void AdminSocket::accept() {
   acceptor_.async_accept(lifetime_.guard([this](error_code ec, stream_protocol::socket socket) {
     if (ec) return;
     accept();
@@ -72,7 +72,7 @@
   }));
 }
 
-json askControl(const std::string& path, const json& question) {
+json queryAdminSocket(const std::string& path, const json& question) {
   boost::asio::io_context io;
   stream_protocol::socket socket(io);
   error_code ec;
--- a/src/fleet/control.hpp
+++ b/src/fleet/admin_socket.hpp
@@ -9,11 +9,11 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "lifetime.hpp"
+#include "common/callback_guard.hpp"
 
 namespace cairnjunction::fleet {
 
-class Control {
+class AdminSocket {
  public:
   static constexpr std::size_t kLineMost = 4096;  // bytes of a question
   static constexpr std::size_t kCallersMost = 8;
@@ -22,10 +22,10 @@
   using Answer = std::function<nlohmann::json(const nlohmann::json& question)>;  // must not throw
 
   // Takes the path over from a process that is gone. Throws boost::system::system_error.
-  Control(boost::asio::io_context& io, const std::string& path, Answer answer);
-  ~Control();
-  Control(const Control&) = delete;
-  Control& operator=(const Control&) = delete;
+  AdminSocket(boost::asio::io_context& io, const std::string& path, Answer answer);
+  ~AdminSocket();
+  AdminSocket(const AdminSocket&) = delete;
+  AdminSocket& operator=(const AdminSocket&) = delete;
 
  private:
   struct Caller;
@@ -35,10 +35,10 @@
   boost::asio::local::stream_protocol::acceptor acceptor_;
   Answer answer_;
   std::size_t callers_ = 0;
-  Lifetime lifetime_;
+  CallbackGuard lifetime_;
 };
 
 // Asks and waits for the answer. Throws std::runtime_error with what failed.
-nlohmann::json askControl(const std::string& path, const nlohmann::json& question);
+nlohmann::json queryAdminSocket(const std::string& path, const nlohmann::json& question);
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/boot_clock.hpp
+++ b/src/fleet/boot_clock.hpp
@@ -3,15 +3,15 @@
 
 #include <time.h>
 
-#include "duty/duty.hpp"
+#include "lease/lease.hpp"
 
 namespace cairnjunction::fleet {
 
-inline duty::Time bootTime() {
+inline lease::Time bootTime() {
   timespec now{};
   ::clock_gettime(CLOCK_BOOTTIME, &now);
-  return std::chrono::duration_cast<duty::Time>(std::chrono::seconds(now.tv_sec) +
-                                                std::chrono::nanoseconds(now.tv_nsec));
+  return std::chrono::duration_cast<lease::Time>(std::chrono::seconds(now.tv_sec) +
+                                                 std::chrono::nanoseconds(now.tv_nsec));
 }
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/keeper.hpp
+++ b/src/fleet/coordinator.hpp
@@ -13,31 +13,31 @@
 #include <set>
 #include <string>
 
-#include "agreement/identity.hpp"
-#include "agreement/log.hpp"
-#include "fleet/journal.hpp"
+#include "common/callback_guard.hpp"
+#include "consensus/replicated_log.hpp"
+#include "consensus/voter_identity.hpp"
+#include "fleet/event_log.hpp"
 #include "fleet/link.hpp"
 #include "fleet/settings.hpp"
-#include "lifetime.hpp"
 
 namespace cairnjunction::fleet {
 
 // The registry on the log.
-class RegistryMachine final : public agreement::Machine {
+class LeaseStateMachine final : public consensus::StateMachine {
  public:
   void apply(std::string_view entry) override;
   std::string snapshot() const override { return registry_.snapshot(); }
   void restore(std::string_view bytes) override { registry_.restore(bytes); }
 
-  const duty::Registry& registry() const { return registry_; }
-  const duty::Outcome& last() const { return last_; }  // of the entry that was applied just now
+  const lease::LeaseTable& registry() const { return registry_; }
+  const lease::ApplyResult& last() const { return last_; }  // of the entry that was applied just now
 
  private:
-  duty::Registry registry_;
-  duty::Outcome last_;
+  lease::LeaseTable registry_;
+  lease::ApplyResult last_;
 };
 
-class Keeper {
+class Coordinator {
  public:
   // Connections that may stand; each member has one, and in a change of keepers two for a moment.
   static constexpr std::size_t kLinksMost = 4096;
@@ -45,29 +45,29 @@
   static constexpr std::size_t kKeptMost = 16 << 20;
 
   // Listens at once. Throws boost::system::system_error.
-  Keeper(boost::asio::io_context& io, const Settings& settings, int number, agreement::Identity& identity,
-         RegistryMachine& machine, Journal& journal);
-  ~Keeper();
-  Keeper(const Keeper&) = delete;
-  Keeper& operator=(const Keeper&) = delete;
+  Coordinator(boost::asio::io_context& io, const Settings& settings, int number,
+              consensus::VoterIdentity& identity, LeaseStateMachine& machine, EventLog& journal);
+  ~Coordinator();
+  Coordinator(const Coordinator&) = delete;
+  Coordinator& operator=(const Coordinator&) = delete;
 
   // From now on it serves members, when it leads. The log outlives it, or it is given none again.
-  void serve(agreement::Log& log);
+  void serve(consensus::ReplicatedLog& log);
   // Sends members to whoever leads next.
   void stop();
 
   boost::asio::ip::tcp::endpoint listening() const { return acceptor_.local_endpoint(); }
-  bool leads() const { return log_ && log_->leads(); }
+  bool isLeader() const { return log_ && log_->isLeader(); }
   // What operators ask; `handOver` says whether its owner was asked for it.
   nlohmann::json status() const;
-  nlohmann::json duties() const;
-  bool handOver(const duty::Key& key);
+  nlohmann::json leases() const;
+  bool transfer(const lease::LeaseKey& key);
 
  private:
   struct Session;
   using SessionPtr = std::shared_ptr<Session>;
   struct Kept {
-    duty::OrderId id;
+    lease::FencingToken id;
     Bytes frame;
   };
 
@@ -75,39 +75,39 @@
   void heard(const SessionPtr& session, const Message& message);
   void ended(const SessionPtr& session, LinkEnd end, const std::string& why);
   void turnAway(const SessionPtr& session, const std::string& why);
-  void on(const SessionPtr& session, const Hello& hello);
-  void on(const SessionPtr& session, const KeeperHello& hello);
-  void on(const SessionPtr& session, const Beat& beat);
-  void on(const SessionPtr& session, const GiveBack& back);
-  void on(const SessionPtr& session, const Order& order);
+  void on(const SessionPtr& session, const JoinRequest& hello);
+  void on(const SessionPtr& session, const VoterHandshakeRequest& hello);
+  void on(const SessionPtr& session, const Heartbeat& beat);
+  void on(const SessionPtr& session, const ReleaseLease& back);
+  void on(const SessionPtr& session, const Command& order);
   void on(const SessionPtr& session, const Leave& leave);
   void welcome(const SessionPtr& session);
   void leadChanged();
   void turn();
   void grantWhatIsFree();
   void spread();
-  void propose(duty::Change change, std::function<void(const duty::Outcome&)> done);
-  duty::Time logNow() const;
-  SessionPtr sessionOf(const duty::Member& member) const;
+  void propose(lease::Change change, std::function<void(const lease::ApplyResult&)> done);
+  lease::Time logNow() const;
+  SessionPtr sessionOf(const lease::Member& member) const;
 
   boost::asio::io_context& io_;
   const Settings settings_;
   const int number_;
-  agreement::Identity& identity_;
-  RegistryMachine& machine_;
-  Journal& journal_;
-  agreement::Log* log_ = nullptr;
+  consensus::VoterIdentity& identity_;
+  LeaseStateMachine& machine_;
+  EventLog& journal_;
+  consensus::ReplicatedLog* log_ = nullptr;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer turnTimer_, acceptAgain_;
   std::set<SessionPtr> sessions_;
   std::map<std::string, SessionPtr> members_;  // joined, by name
-  std::set<duty::Key> granting_;               // on their way to the log
-  std::map<duty::Key, Kept> kept_;
+  std::set<lease::LeaseKey> granting_;         // on their way to the log
+  std::map<lease::LeaseKey, Kept> kept_;
   std::size_t keptBytes_ = 0;
   bool leading_ = false, stopping_ = false;
-  duty::Time base_{}, baseAt_{}, spreadAt_{};  // the log's time when it began to lead, and its clock then
+  lease::Time base_{}, baseAt_{}, spreadAt_{};  // the log's time when it began to lead, and its clock then
   std::uint64_t orders_ = 0, turnedAway_ = 0;
-  Lifetime lifetime_;
+  CallbackGuard lifetime_;
 };
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/journal.cpp
+++ b/src/fleet/event_log.cpp
@@ -1,5 +1,5 @@
 // Structured lines of members and keepers.
-#include "fleet/journal.hpp"
+#include "fleet/event_log.hpp"
 
 #include <spdlog/sinks/basic_file_sink.h>
 #include <spdlog/sinks/stdout_sinks.h>
@@ -9,9 +9,9 @@
 
 namespace cairnjunction::fleet {
 
-nlohmann::json fieldsOf(const duty::Key& key) { return {{"duty", key.duty}, {"shard", key.shard}}; }
+nlohmann::json fieldsOf(const lease::LeaseKey& key) { return {{"duty", key.task}, {"shard", key.shard}}; }
 
-Journal::Journal(const std::string& file, const char* role, std::string self)
+EventLog::EventLog(const std::string& file, const char* role, std::string self)
     : role_(role), self_(std::move(self)) {
   spdlog::sink_ptr sink;
   if (file.empty()) sink = std::make_shared<spdlog::sinks::stderr_sink_st>();
@@ -21,9 +21,9 @@
   log_->flush_on(spdlog::level::info);
 }
 
-Journal::~Journal() = default;
+EventLog::~EventLog() = default;
 
-void Journal::line(std::string_view event, nlohmann::json fields) {
+void EventLog::line(std::string_view event, nlohmann::json fields) {
   const std::int64_t now = bootTime().count();
   if (now / 1000 != second_) second_ = now / 1000, lines_ = 0;
   if (++lines_ > kLinesASecond) {
@@ -37,12 +37,12 @@
   log_->info(fields.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
-void Journal::order(std::string_view event, const duty::OrderId& id, nlohmann::json fields) {
+void EventLog::order(std::string_view event, const lease::FencingToken& id, nlohmann::json fields) {
   fields.update(fieldsOf(id.key));
   fields["epoch"] = id.epoch;
   fields["sequence"] = id.sequence;
-  fields["from"] = id.from.name;
-  fields["from_incarnation"] = id.from.incarnation;
+  fields["from"] = id.holder.name;
+  fields["from_incarnation"] = id.holder.incarnation;
   line(event, std::move(fields));
 }
 
--- a/src/fleet/journal.hpp
+++ b/src/fleet/event_log.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "duty/duty.hpp"
+#include "lease/lease.hpp"
 
 namespace spdlog {
 class logger;
@@ -16,22 +16,22 @@
 
 namespace cairnjunction::fleet {
 
-nlohmann::json fieldsOf(const duty::Key& key);  // duty and shard, as they stand in lines
+nlohmann::json fieldsOf(const lease::LeaseKey& key);  // duty and shard, as they stand in lines
 
-class Journal {
+class EventLog {
  public:
   // Of what may come at a peer's pace; what is left out is counted in the next line that is written.
   static constexpr int kLinesASecond = 200;
 
   // `file` empty: standard error. Throws std::runtime_error if it can't be opened. `self` stands in each line
   // as "member" or "keeper".
-  Journal(const std::string& file, const char* role, std::string self);
-  ~Journal();
-  Journal(const Journal&) = delete;
-  Journal& operator=(const Journal&) = delete;
+  EventLog(const std::string& file, const char* role, std::string self);
+  ~EventLog();
+  EventLog(const EventLog&) = delete;
+  EventLog& operator=(const EventLog&) = delete;
 
   void line(std::string_view event, nlohmann::json fields = nlohmann::json::object());
-  void order(std::string_view event, const duty::OrderId& id,
+  void order(std::string_view event, const lease::FencingToken& id,
              nlohmann::json fields = nlohmann::json::object());
 
  private:
--- a/src/fleet/frame.cpp
+++ b/src/fleet/frame.cpp
@@ -6,10 +6,10 @@
 namespace cairnjunction::fleet {
 namespace {
 
-using duty::Epoch;
-using duty::Key;
-using duty::Member;
-using duty::Sequence;
+using lease::Epoch;
+using lease::LeaseKey;
+using lease::Member;
+using lease::Sequence;
 
 const msgpack::unpack_limit kLimit(4096, 4096, kFrameMost, kFrameMost, 0, 6);
 
@@ -19,87 +19,89 @@
 using GrantRow = std::tuple<std::string, std::uint32_t, Epoch, Sequence, std::int64_t, std::int64_t>;
 using LostRow = std::tuple<std::string, std::uint32_t, Epoch>;
 
-std::tuple<int, std::string, std::string, duty::Incarnation, std::string, bool> row(const Hello& m) {
+std::tuple<int, std::string, std::string, lease::Incarnation, std::string, bool> row(const JoinRequest& m) {
   return {m.protocol, m.fleet, m.member.name, m.member.incarnation, m.zone, m.willing};
 }
-std::tuple<int, std::string, int, std::uint64_t, std::uint64_t> row(const KeeperHello& m) {
-  return {m.protocol, m.fleet, m.number, m.mark.incarnation, m.mark.starts};
+std::tuple<int, std::string, int, std::uint64_t, std::uint64_t> row(const VoterHandshakeRequest& m) {
+  return {m.protocol, m.fleet, m.number, m.mark.incarnation, m.mark.startCount};
 }
-std::tuple<int, std::uint64_t, std::uint64_t, std::string> row(const KeeperAnswer& m) {
-  return {m.number, m.mark.incarnation, m.mark.starts, m.why};
+std::tuple<int, std::uint64_t, std::uint64_t, std::string> row(const VoterHandshakeResponse& m) {
+  return {m.number, m.mark.incarnation, m.mark.startCount, m.rejection};
 }
-std::tuple<int, std::uint32_t, std::vector<MarkRow>> row(const Welcome& m) {
+std::tuple<int, std::uint32_t, std::vector<MarkRow>> row(const JoinResponse& m) {
   std::vector<MarkRow> marks;
-  for (const auto& [key, mark] : m.marks) marks.emplace_back(key.duty, key.shard, mark.epoch, mark.sequence);
-  return {m.keeper, m.members, marks};
+  for (const auto& [key, mark] : m.marks) marks.emplace_back(key.task, key.shard, mark.epoch, mark.sequence);
+  return {m.coordinator, m.members, marks};
 }
-std::tuple<int> row(const Elsewhere& m) { return {m.keeper}; }
-std::tuple<std::string> row(const TurnedAway& m) { return {m.why}; }
-std::tuple<std::int64_t, std::vector<MarkRow>> row(const Beat& m) {
+std::tuple<int> row(const NotLeader& m) { return {m.leader}; }
+std::tuple<std::string> row(const JoinRejected& m) { return {m.reason}; }
+std::tuple<std::int64_t, std::vector<MarkRow>> row(const Heartbeat& m) {
   std::vector<MarkRow> held;
-  for (const auto& h : m.held) held.emplace_back(h.key.duty, h.key.shard, h.epoch, h.sequence);
-  return {m.stamp, held};
+  for (const auto& h : m.held) held.emplace_back(h.key.task, h.key.shard, h.epoch, h.sequence);
+  return {m.sentAt, held};
 }
-std::tuple<std::uint32_t, std::vector<GrantRow>, std::vector<LostRow>> row(const Pulse& m) {
+std::tuple<std::uint32_t, std::vector<GrantRow>, std::vector<LostRow>> row(const HeartbeatResponse& m) {
   std::vector<GrantRow> granted;
-  for (const Grant& g : m.granted)
-    granted.emplace_back(g.key.duty, g.key.shard, g.epoch, g.sequence, g.askedAt, g.lease);
+  for (const LeaseGrant& g : m.granted)
+    granted.emplace_back(g.key.task, g.key.shard, g.epoch, g.sequence, g.askedAt, g.leaseDuration);
   std::vector<LostRow> lost;
-  for (const auto& [key, epoch] : m.lost) lost.emplace_back(key.duty, key.shard, epoch);
+  for (const auto& [key, epoch] : m.lost) lost.emplace_back(key.task, key.shard, epoch);
   return {m.members, granted, lost};
 }
-std::tuple<std::string, std::uint32_t, Epoch, bool> row(const GiveBack& m) {
-  return {m.key.duty, m.key.shard, m.epoch, m.failed};
+std::tuple<std::string, std::uint32_t, Epoch, bool> row(const ReleaseLease& m) {
+  return {m.key.task, m.key.shard, m.epoch, m.failed};
 }
-std::tuple<std::string, std::uint32_t, Epoch> row(const HandOver& m) {
-  return {m.key.duty, m.key.shard, m.epoch};
+std::tuple<std::string, std::uint32_t, Epoch> row(const TransferLease& m) {
+  return {m.key.task, m.key.shard, m.epoch};
 }
-std::tuple<std::string, std::uint32_t, Epoch, Sequence, std::string, duty::Incarnation, bool, std::string>
-row(const Order& m) {
-  return {m.id.key.duty,  m.id.key.shard,        m.id.epoch, m.id.sequence,
-          m.id.from.name, m.id.from.incarnation, m.keep,     m.body};
+std::tuple<std::string, std::uint32_t, Epoch, Sequence, std::string, lease::Incarnation, bool, std::string>
+row(const Command& m) {
+  return {m.token.key.task,    m.token.key.shard,          m.token.epoch, m.token.sequence,
+          m.token.holder.name, m.token.holder.incarnation, m.retained,    m.body};
 }
 std::tuple<> row(const Leave&) { return {}; }
 
 template <class T>
 using RowOf = decltype(row(std::declval<T>()));
 
-void fill(Hello& m, RowOf<Hello> r) {
+void fill(JoinRequest& m, RowOf<JoinRequest> r) {
   std::tie(m.protocol, m.fleet, m.member.name, m.member.incarnation, m.zone, m.willing) = std::move(r);
 }
-void fill(KeeperHello& m, RowOf<KeeperHello> r) {
-  std::tie(m.protocol, m.fleet, m.number, m.mark.incarnation, m.mark.starts) = std::move(r);
+void fill(VoterHandshakeRequest& m, RowOf<VoterHandshakeRequest> r) {
+  std::tie(m.protocol, m.fleet, m.number, m.mark.incarnation, m.mark.startCount) = std::move(r);
 }
-void fill(KeeperAnswer& m, RowOf<KeeperAnswer> r) {
-  std::tie(m.number, m.mark.incarnation, m.mark.starts, m.why) = std::move(r);
+void fill(VoterHandshakeResponse& m, RowOf<VoterHandshakeResponse> r) {
+  std::tie(m.number, m.mark.incarnation, m.mark.startCount, m.rejection) = std::move(r);
 }
-void fill(Welcome& m, RowOf<Welcome> r) {
+void fill(JoinResponse& m, RowOf<JoinResponse> r) {
   std::vector<MarkRow> marks;
-  std::tie(m.keeper, m.members, marks) = std::move(r);
+  std::tie(m.coordinator, m.members, marks) = std::move(r);
   for (auto& [duty, shard, epoch, sequence] : marks) m.marks[{duty, shard}] = {epoch, sequence, {}};
 }
-void fill(Elsewhere& m, RowOf<Elsewhere> r) { std::tie(m.keeper) = r; }
-void fill(TurnedAway& m, RowOf<TurnedAway> r) { std::tie(m.why) = std::move(r); }
-void fill(Beat& m, RowOf<Beat> r) {
+void fill(NotLeader& m, RowOf<NotLeader> r) { std::tie(m.leader) = r; }
+void fill(JoinRejected& m, RowOf<JoinRejected> r) { std::tie(m.reason) = std::move(r); }
+void fill(Heartbeat& m, RowOf<Heartbeat> r) {
   std::vector<MarkRow> held;
-  std::tie(m.stamp, held) = std::move(r);
+  std::tie(m.sentAt, held) = std::move(r);
   for (auto& [duty, shard, epoch, sequence] : held) m.held.push_back({{duty, shard}, epoch, sequence});
 }
-void fill(Pulse& m, RowOf<Pulse> r) {
+void fill(HeartbeatResponse& m, RowOf<HeartbeatResponse> r) {
   std::vector<GrantRow> granted;
   std::vector<LostRow> lost;
   std::tie(m.members, granted, lost) = std::move(r);
   for (auto& [duty, shard, epoch, sequence, askedAt, lease] : granted)
     m.granted.push_back({{duty, shard}, epoch, sequence, askedAt, lease});
-  for (auto& [duty, shard, epoch] : lost) m.lost.emplace_back(Key{duty, shard}, epoch);
+  for (auto& [duty, shard, epoch] : lost) m.lost.emplace_back(LeaseKey{duty, shard}, epoch);
 }
-void fill(GiveBack& m, RowOf<GiveBack> r) {
-  std::tie(m.key.duty, m.key.shard, m.epoch, m.failed) = std::move(r);
+void fill(ReleaseLease& m, RowOf<ReleaseLease> r) {
+  std::tie(m.key.task, m.key.shard, m.epoch, m.failed) = std::move(r);
 }
-void fill(HandOver& m, RowOf<HandOver> r) { std::tie(m.key.duty, m.key.shard, m.epoch) = std::move(r); }
-void fill(Order& m, RowOf<Order> r) {
-  std::tie(m.id.key.duty, m.id.key.shard, m.id.epoch, m.id.sequence, m.id.from.name, m.id.from.incarnation,
-           m.keep, m.body) = std::move(r);
+void fill(TransferLease& m, RowOf<TransferLease> r) {
+  std::tie(m.key.task, m.key.shard, m.epoch) = std::move(r);
+}
+void fill(Command& m, RowOf<Command> r) {
+  std::tie(m.token.key.task, m.token.key.shard, m.token.epoch, m.token.sequence, m.token.holder.name,
+           m.token.holder.incarnation, m.retained, m.body) = std::move(r);
 }
 
 template <std::size_t I = 0>
--- a/src/fleet/frame.hpp
+++ b/src/fleet/frame.hpp
@@ -11,9 +11,9 @@
 #include <variant>
 #include <vector>
 
-#include "agreement/identity.hpp"
-#include "duty/fence.hpp"
-#include "duty/registry.hpp"
+#include "consensus/voter_identity.hpp"
+#include "lease/fencing_gate.hpp"
+#include "lease/lease_table.hpp"
 
 namespace cairnjunction::fleet {
 
@@ -21,69 +21,70 @@
 // A list of 10,000 hosts has 2 MB; anything larger comes from somebody else.
 inline constexpr std::size_t kFrameMost = 4 << 20;
 
-struct Hello {  // a member's first word
+struct JoinRequest {  // a member's first word
   int protocol = kProtocol;
   std::string fleet;
-  duty::Member member;
+  lease::Member member;
   std::string zone;
   bool willing = true;
 };
-struct KeeperHello {  // a keeper's, before it votes
+struct VoterHandshakeRequest {  // a keeper's, before it votes
   int protocol = kProtocol;
   std::string fleet;
   int number = 0;
-  agreement::Mark mark;
+  consensus::VoterMark mark;
 };
-struct KeeperAnswer {
+struct VoterHandshakeResponse {
   int number = 0;
-  agreement::Mark mark;
-  std::string why;  // empty: it may vote
+  consensus::VoterMark mark;
+  std::string rejection;  // empty: it may vote
 };
-struct Welcome {  // the leader's; sent after the member's `joined` is on the log
-  int keeper = 0;
+struct JoinResponse {  // the leader's; sent after the member's `joined` is on the log
+  int coordinator = 0;
   std::uint32_t members = 0;
-  std::map<duty::Key, duty::Fence::Mark> marks;  // without senders
+  std::map<lease::LeaseKey, lease::FencingGate::FencingMark> marks;  // without senders
 };
-struct Elsewhere {  // this keeper does not lead
-  int keeper = 0;   // 0: it does not know who does
+struct NotLeader {  // this keeper does not lead
+  int leader = 0;   // 0: it does not know who does
 };
-struct TurnedAway {
-  std::string why;
+struct JoinRejected {
+  std::string reason;
 };
-struct Beat {
-  std::int64_t stamp = 0;  // the member's clock before it wrote this, ms
-  std::vector<duty::Renewed::Held> held;
+struct Heartbeat {
+  std::int64_t sentAt = 0;  // the member's clock before it wrote this, ms
+  std::vector<lease::LeasesRenewed::Held> held;
 };
-struct Grant {
-  duty::Key key;
-  duty::Epoch epoch = 0;
-  duty::Sequence sequence = 0;
-  std::int64_t askedAt = 0;  // the member's stamp that it answers
-  std::int64_t lease = 0;    // ms
+struct LeaseGrant {
+  lease::LeaseKey key;
+  lease::Epoch epoch = 0;
+  lease::Sequence sequence = 0;
+  std::int64_t askedAt = 0;        // the member's stamp that it answers
+  std::int64_t leaseDuration = 0;  // ms
 };
-struct Pulse {  // answers a beat, or tells of a grant
+struct HeartbeatResponse {  // answers a beat, or tells of a grant
   std::uint32_t members = 0;
-  std::vector<Grant> granted;
-  std::vector<std::pair<duty::Key, duty::Epoch>> lost;
+  std::vector<LeaseGrant> granted;
+  std::vector<std::pair<lease::LeaseKey, lease::Epoch>> lost;
 };
-struct GiveBack {
-  duty::Key key;
-  duty::Epoch epoch = 0;
+struct ReleaseLease {
+  lease::LeaseKey key;
+  lease::Epoch epoch = 0;
   bool failed = false;
 };
-struct HandOver {  // the owner is to give it back as soon as it can
-  duty::Key key;
-  duty::Epoch epoch = 0;
+struct TransferLease {  // the owner is to give it back as soon as it can
+  lease::LeaseKey key;
+  lease::Epoch epoch = 0;
 };
-struct Order {
-  duty::OrderId id;
-  bool keep = false;  // the last one of its key is given to those that join
+struct Command {
+  lease::FencingToken token;
+  bool retained = false;  // the last one of its key is given to those that join
   std::string body;
 };
 struct Leave {};  // a member stops and owns nothing any more; and the keeper's word that this is on the log
 
-using Message = std::variant<Hello, KeeperHello, KeeperAnswer, Welcome, Elsewhere, TurnedAway, Beat, Pulse,
-                             GiveBack, HandOver, Order, Leave>;
+using Message =
+    std::variant<JoinRequest, VoterHandshakeRequest, VoterHandshakeResponse, JoinResponse, NotLeader,
+                 JoinRejected, Heartbeat, HeartbeatResponse, ReleaseLease, TransferLease, Command, Leave>;
 
 struct BadFrame : std::runtime_error {
   using std::runtime_error::runtime_error;
--- a/src/fleet/link.cpp
+++ b/src/fleet/link.cpp
@@ -12,14 +12,14 @@
 
 std::string_view nameOf(LinkEnd end) {
   switch (end) {
-    case LinkEnd::refused: return "refused";
-    case LinkEnd::dialSilent: return "dial-silent";
-    case LinkEnd::turnedAway: return "turned-away";
-    case LinkEnd::silent: return "silent";
-    case LinkEnd::slow: return "slow";
+    case LinkEnd::connectionRefused: return "refused";
+    case LinkEnd::connectTimeout: return "dial-silent";
+    case LinkEnd::rejected: return "turned-away";
+    case LinkEnd::receiveTimeout: return "silent";
+    case LinkEnd::sendTimeout: return "slow";
     case LinkEnd::reset: return "reset";
     case LinkEnd::badFrame: return "bad-frame";
-    case LinkEnd::moved: return "moved";
+    case LinkEnd::notLeader: return "moved";
     case LinkEnd::stopped: return "stopped";
   }
   return "";
@@ -35,13 +35,13 @@
 std::shared_ptr<Link> Link::dial(boost::asio::io_context& io, const tcp::endpoint& to, const Limits& limits,
                                  Callbacks callbacks) {
   std::shared_ptr<Link> link(new Link(io, tcp::socket(io), limits, std::move(callbacks)));
-  link->silence_.expires_after(limits.dial);
+  link->silence_.expires_after(limits.connectTimeout);
   link->silence_.async_wait([link](error_code ec) {
-    if (!ec && !link->up_) link->close(LinkEnd::dialSilent);
+    if (!ec && !link->up_) link->close(LinkEnd::connectTimeout);
   });
   link->socket_.async_connect(to, [link](error_code ec) {
     if (link->over_) return;
-    if (ec) return link->close(LinkEnd::refused, ec.message());
+    if (ec) return link->close(LinkEnd::connectionRefused, ec.message());
     link->begin();
     if (link->callbacks_.up) link->callbacks_.up();
   });
@@ -65,9 +65,9 @@
 }
 
 void Link::watchSilence() {
-  silence_.expires_after(limits_.silent);
+  silence_.expires_after(limits_.receiveTimeout);
   silence_.async_wait([self = shared_from_this()](error_code ec) {
-    if (!ec) self->close(LinkEnd::silent);
+    if (!ec) self->close(LinkEnd::receiveTimeout);
   });
 }
 
@@ -110,16 +110,16 @@
   if (over_ || finishing_) return;
   queued_ += frame->size();
   out_.push_back(std::move(frame));
-  if (queued_ > limits_.queueMost)
-    return close(LinkEnd::slow, std::to_string(queued_) + " bytes wait to be written");
+  if (queued_ > limits_.maxQueuedBytes)
+    return close(LinkEnd::sendTimeout, std::to_string(queued_) + " bytes wait to be written");
   if (up_ && !writing_) write();
 }
 
 void Link::write() {
   writing_ = true;
-  slow_.expires_after(limits_.slow);
+  slow_.expires_after(limits_.sendTimeout);
   slow_.async_wait([self = shared_from_this()](error_code ec) {
-    if (!ec && self->writing_) self->close(LinkEnd::slow, "a frame was not taken in time");
+    if (!ec && self->writing_) self->close(LinkEnd::sendTimeout, "a frame was not taken in time");
   });
   boost::asio::async_write(socket_, boost::asio::buffer(*out_.front()),
                            [self = shared_from_this(), frame = out_.front()](error_code ec, std::size_t n) {
@@ -146,11 +146,11 @@
 void Link::close(LinkEnd end, const std::string& why) {
   if (over_) return;
   const auto ended = std::move(callbacks_.ended);
-  drop();
+  abandon();
   if (ended) ended(end, why);
 }
 
-void Link::drop() {
+void Link::abandon() {
   over_ = true;
   up_ = false;
   silence_.cancel();
--- a/src/fleet/link.hpp
+++ b/src/fleet/link.hpp
@@ -19,25 +19,25 @@
 namespace cairnjunction::fleet {
 
 enum class LinkEnd {
-  refused,     // nobody listens
-  dialSilent,  // it did not come up in time
-  turnedAway,  // by the other side, with a reason
-  silent,      // no whole frame for its time: half open, cut, or the other side hangs
-  slow,        // more waits to be written than the bound, or the same for too long
-  reset,       // closed or reset by the other side, perhaps in the middle of a frame
-  badFrame,    // what came is no frame of ours
-  moved,       // the other side does not lead
-  stopped      // by us
+  connectionRefused,  // nobody listens
+  connectTimeout,     // it did not come up in time
+  rejected,           // by the other side, with a reason
+  receiveTimeout,     // no whole frame for its time: half open, cut, or the other side hangs
+  sendTimeout,        // more waits to be written than the bound, or the same for too long
+  reset,              // closed or reset by the other side, perhaps in the middle of a frame
+  badFrame,           // what came is no frame of ours
+  notLeader,          // the other side does not lead
+  stopped             // by us
 };
 std::string_view nameOf(LinkEnd end);
 
 class Link : public std::enable_shared_from_this<Link> {
  public:
   struct Limits {
-    std::chrono::milliseconds dial{1000};
-    std::chrono::milliseconds silent{3000};  // between whole frames that come
-    std::chrono::milliseconds slow{3000};    // for one frame to be taken by the system
-    std::size_t queueMost = 2 * kFrameMost;  // bytes that wait to be written
+    std::chrono::milliseconds connectTimeout{1000};
+    std::chrono::milliseconds receiveTimeout{3000};  // between whole frames that come
+    std::chrono::milliseconds sendTimeout{3000};     // for one frame to be taken by the system
+    std::size_t maxQueuedBytes = 2 * kFrameMost;     // bytes that wait to be written
   };
   struct Callbacks {
     std::function<void()> up;
@@ -55,7 +55,7 @@
   // What was sent is still written, for as long as `slow` allows; then `ended` comes with `end`.
   void finish(LinkEnd end);
   void close(LinkEnd end, const std::string& why = {});
-  void drop();  // without a word: `ended` is not called
+  void abandon();  // without a word: `ended` is not called
   bool isUp() const { return up_; }
   std::uint64_t bytesIn() const { return bytesIn_; }
   std::uint64_t bytesOut() const { return bytesOut_; }
--- a/src/fleet/member.cpp
+++ b/src/fleet/member.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 using boost::system::error_code;
-using duty::Key;
-using duty::Time;
+using lease::LeaseKey;
+using lease::Time;
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-json fieldsOf(const Key& key, duty::Epoch epoch) {
+json fieldsOf(const LeaseKey& key, lease::Epoch epoch) {
   json fields = fleet::fieldsOf(key);
   fields["epoch"] = epoch;
   return fields;
@@ -29,7 +29,7 @@
 }  // namespace
 
 Member::Member(boost::asio::io_context& io, const Settings& settings, const std::string& name, Events events,
-               Journal& journal)
+               EventLog& journal)
     : io_(io),
       settings_(settings),
       self_{name, drawnSeed() >> 1 | 1},
@@ -43,15 +43,15 @@
       leaveTimer_(io),
       random_(drawnSeed()),
       members_(settings.members) {
-  std::map<Key, duty::Fence::Mark> marks;
+  std::map<LeaseKey, lease::FencingGate::FencingMark> marks;
   // What the disk knows is learned before the first order. Whoever has no disk waits for the keepers' word.
   if (file_.read(marks)) {
-    for (auto& [key, mark] : marks) mark = mark.beforeLast();
+    for (auto& [key, mark] : marks) mark = mark.withoutLastCommand();
     fence_.learn(marks);
   }
   durable_ = marks;
   if (file_.kept()) disk_ = std::make_unique<boost::asio::thread_pool>(1);
-  nextKeeper_ = random_() % settings_.keepers.size();
+  nextKeeper_ = random_() % settings_.coordinators.size();
   heardAt_ = bootTime();
   journal_.line("started", {{"incarnation", self_.incarnation}, {"marks", marks.size()}});
   watchAlone();
@@ -60,7 +60,7 @@
 
 Member::~Member() {
   if (disk_) disk_->join();
-  if (link_) link_->drop();
+  if (link_) link_->abandon();
 }
 
 milliseconds Member::drawn(milliseconds least, milliseconds most) {
@@ -71,16 +71,16 @@
 // --- The link ---------------------------------------------------------------------------------------------
 
 void Member::dial() {
-  const KeeperAddress* to = hinted_ ? settings_.keeper(hinted_) : nullptr;
+  const CoordinatorAddress* to = hinted_ ? settings_.coordinator(hinted_) : nullptr;
   hinted_ = 0;
-  if (!to) to = &settings_.keepers[nextKeeper_++ % settings_.keepers.size()];
+  if (!to) to = &settings_.coordinators[nextKeeper_++ % settings_.coordinators.size()];
   dialling_ = to->number;
   Link::Limits limits;
-  limits.silent = settings_.aloneAfter;
+  limits.receiveTimeout = settings_.isolatedAfter;
   link_ = Link::dial(io_, to->address, limits,
                      {[this] {
-                        link_->send(Hello{kProtocol, settings_.fleet, self_, settings_.zone,
-                                          settings_.willing && !leaving_});
+                        link_->send(JoinRequest{kProtocol, settings_.fleet, self_, settings_.zone,
+                                                settings_.eligible && !leaving_});
                       },
                       [this](const Message& message) { heard(message); },
                       [this](LinkEnd end, const std::string& why) { ended(end, why); }});
@@ -108,34 +108,34 @@
   // A hint is followed soon; without one the next keeper is tried, ever later.
   ++failures_;
   const milliseconds wait = std::min(kDialFirst * (1 << std::min(failures_ / 2, 10)), kDialLast);
-  dialLater(end == LinkEnd::turnedAway ? kDialLast : wait);
+  dialLater(end == LinkEnd::rejected ? kDialLast : wait);
 }
 
 void Member::heard(const Message& message) {
-  if (const auto* welcome = std::get_if<Welcome>(&message)) on(*welcome);
-  else if (const auto* pulse = std::get_if<Pulse>(&message)) on(*pulse);
-  else if (const auto* order = std::get_if<Order>(&message)) on(*order);
-  else if (const auto* word = std::get_if<HandOver>(&message)) on(*word);
+  if (const auto* welcome = std::get_if<JoinResponse>(&message)) on(*welcome);
+  else if (const auto* pulse = std::get_if<HeartbeatResponse>(&message)) on(*pulse);
+  else if (const auto* order = std::get_if<Command>(&message)) on(*order);
+  else if (const auto* word = std::get_if<TransferLease>(&message)) on(*word);
   else if (std::holds_alternative<Leave>(message)) left();
-  else if (const auto* moved = std::get_if<Elsewhere>(&message)) {
-    if (moved->keeper != dialling_) hinted_ = moved->keeper;
-    link_->close(LinkEnd::moved);
-  } else if (const auto* away = std::get_if<TurnedAway>(&message)) {
-    link_->close(LinkEnd::turnedAway, away->why);
+  else if (const auto* moved = std::get_if<NotLeader>(&message)) {
+    if (moved->leader != dialling_) hinted_ = moved->leader;
+    link_->close(LinkEnd::notLeader);
+  } else if (const auto* away = std::get_if<JoinRejected>(&message)) {
+    link_->close(LinkEnd::rejected, away->reason);
   } else {
     link_->close(LinkEnd::badFrame, "a member's word from a keeper");
   }
 }
 
-void Member::on(const Welcome& welcome) {
+void Member::on(const JoinResponse& welcome) {
   joined_ = true;
   failures_ = 0;
   members_ = std::max<std::uint32_t>(welcome.members, 1);
   fence_.learn(welcome.marks);
-  journal_.line("joined", {{"keeper", welcome.keeper}, {"incarnation", self_.incarnation}});
+  journal_.line("joined", {{"keeper", welcome.coordinator}, {"incarnation", self_.incarnation}});
   heardKeeper();
   beat();
-  events_.joined();
+  events_.onJoined();
 }
 
 // --- Alone or not -----------------------------------------------------------------------------------------
@@ -144,17 +144,17 @@
   heardAt_ = bootTime();
   if (!std::exchange(alone_, false)) return;
   journal_.line("heard-again");
-  events_.alone();
+  events_.onIsolationChange();
 }
 
 void Member::watchAlone() {
-  aloneTimer_.expires_after(std::max(heardAt_ + settings_.aloneAfter - bootTime(), Time(10)));
+  aloneTimer_.expires_after(std::max(heardAt_ + settings_.isolatedAfter - bootTime(), Time(10)));
   aloneTimer_.async_wait(lifetime_.guard([this](error_code ec) {
     if (ec) return;
-    if (!alone_ && bootTime() >= heardAt_ + settings_.aloneAfter) {
+    if (!alone_ && bootTime() >= heardAt_ + settings_.isolatedAfter) {
       alone_ = true;
       journal_.line("alone", {{"last_end", lastEnd_}});
-      events_.alone();
+      events_.onIsolationChange();
     }
     if (alone_) heardAt_ = bootTime();  // nothing to tell until it is heard again
     watchAlone();
@@ -167,11 +167,11 @@
   if (!joined_ || !link_) return;
   // Before the question is written: the lease counts from here.
   const Time now = bootTime();
-  Beat word{now.count(), {}};
+  Heartbeat word{now.count(), {}};
   for (const auto& [key, tenure] : tenures_)
-    if (tenure.mayAct(now)) word.held.push_back({key, tenure.epoch(), tenure.sequence()});
+    if (tenure.isValid(now)) word.held.push_back({key, tenure.epoch(), tenure.sequence()});
   link_->send(word);
-  beatAt(now + settings_.beat);
+  beatAt(now + settings_.heartbeatInterval);
 }
 
 void Member::beatAt(Time at) {
@@ -181,31 +181,31 @@
   }));
 }
 
-void Member::on(const Pulse& pulse) {
+void Member::on(const HeartbeatResponse& pulse) {
   if (!joined_) return;
   members_ = std::max<std::uint32_t>(pulse.members, 1);
   heardKeeper();
   for (const auto& [key, epoch] : pulse.lost) lost(key, epoch, "taken away");
-  for (const Grant& grant : pulse.granted) granted(grant);
+  for (const LeaseGrant& grant : pulse.granted) granted(grant);
   watchTenures();
 }
 
-void Member::granted(const Grant& grant) {
+void Member::granted(const LeaseGrant& grant) {
   if (leaving_) return;
-  duty::Tenure& tenure = tenures_[grant.key];
-  const duty::Epoch before = tenure.epoch();
-  tenure.granted(grant.epoch, grant.sequence, Time(grant.askedAt), Time(grant.lease));
-  if (!tenure.mayAct(bootTime()) || tenure.epoch() != grant.epoch) return;
+  lease::HeldLease& tenure = tenures_[grant.key];
+  const lease::Epoch before = tenure.epoch();
+  tenure.granted(grant.epoch, grant.sequence, Time(grant.askedAt), Time(grant.leaseDuration));
+  if (!tenure.isValid(bootTime()) || tenure.epoch() != grant.epoch) return;
   if (active_.count(grant.key) && active_[grant.key] != grant.epoch)
     lost(grant.key, active_[grant.key], "older");
   if (grant.epoch == before || active_.count(grant.key)) return;
   active_[grant.key] = grant.epoch;
   journal_.line("duty-begun", fieldsOf(grant.key, grant.epoch));
   beatAt(bootTime());  // its lease counts from a beat of some time ago
-  events_.duty(grant.key, true);
+  events_.onLeaseChange(grant.key, true);
 }
 
-void Member::lost(const Key& key, duty::Epoch epoch, const char* why) {
+void Member::lost(const LeaseKey& key, lease::Epoch epoch, const char* why) {
   const auto it = active_.find(key);
   if (it == active_.end() || it->second != epoch) return;
   if (tenures_[key].epoch() == epoch) tenures_[key].end();
@@ -213,7 +213,7 @@
   json fields = fieldsOf(key, epoch);
   fields["why"] = why;
   journal_.line("duty-ended", fields);
-  events_.duty(key, false);
+  events_.onLeaseChange(key, false);
 }
 
 // A lease that nobody renewed ends here by this member's own clock, whether or not anything is heard.
@@ -225,36 +225,36 @@
   tenureTimer_.async_wait(lifetime_.guard([this](error_code ec) {
     if (ec) return;
     const Time now = bootTime();
-    for (const auto& [key, epoch] : std::map<Key, duty::Epoch>(active_))
-      if (!tenures_[key].mayAct(now)) lost(key, epoch, "its lease ended");
+    for (const auto& [key, epoch] : std::map<LeaseKey, lease::Epoch>(active_))
+      if (!tenures_[key].isValid(now)) lost(key, epoch, "its lease ended");
     watchTenures();
   }));
 }
 
-bool Member::owns(const Key& key) const {
+bool Member::holds(const LeaseKey& key) const {
   const auto it = tenures_.find(key);
-  return it != tenures_.end() && it->second.mayAct(bootTime());
+  return it != tenures_.end() && it->second.isValid(bootTime());
 }
 
-void Member::giveBack(const Key& key, bool failed) {
+void Member::release(const LeaseKey& key, bool failed) {
   const auto it = active_.find(key);
   if (it == active_.end()) return;
-  const duty::Epoch epoch = it->second;
+  const lease::Epoch epoch = it->second;
   // Ended here first, so that nothing is sent under it once the keeper may grant it.
   lost(key, epoch, failed ? "given back: it can't be done here" : "given back");
-  if (link_ && joined_) link_->send(GiveBack{key, epoch, failed});
+  if (link_ && joined_) link_->send(ReleaseLease{key, epoch, failed});
 }
 
-void Member::on(const HandOver& word) {
+void Member::on(const TransferLease& word) {
   const auto it = active_.find(word.key);
-  if (it != active_.end() && it->second == word.epoch) giveBack(word.key, false);
+  if (it != active_.end() && it->second == word.epoch) release(word.key, false);
 }
 
 // It owns nothing from here on, and goes on hearing orders.
 void Member::leave(std::function<void()> done) {
   if (leaving_) return;
   leaving_ = true;
-  for (const auto& [key, epoch] : std::map<Key, duty::Epoch>(active_)) lost(key, epoch, "it stops");
+  for (const auto& [key, epoch] : std::map<LeaseKey, lease::Epoch>(active_)) lost(key, epoch, "it stops");
   if (!link_ || !joined_) return done();
   left_ = std::move(done);
   link_->send(Leave{});
@@ -273,18 +273,18 @@
 
 // Danger: the mark is on the disk before the effect, or there is no effect. The disk is waited for by a
 // thread of its own: the event loop serves calls.
-void Member::keepThen(Order order) {
+void Member::keepThen(Command order) {
   if (!disk_) {
-    journal_.order("order-taken", order.id);
-    return events_.order(order);
+    journal_.order("order-taken", order.token);
+    return events_.onCommand(order);
   }
   boost::asio::post(*disk_, [this, file = file_, marks = fence_.marks(), order = std::move(order),
-                             done = lifetime_.guard([this](bool kept, const auto& on, const Order& taken) {
+                             done = lifetime_.guard([this](bool kept, const auto& on, const Command& taken) {
                                if (!kept) return diskFailed(taken);
                                durable_ = on;
                                tellsDisk_ = true;
-                               journal_.order("order-taken", taken.id);
-                               events_.order(taken);
+                               journal_.order("order-taken", taken.token);
+                               events_.onCommand(taken);
                              })]() mutable {
     const bool kept = file.write(marks);
     boost::asio::post(io_, [done = std::move(done), kept, marks = std::move(marks),
@@ -293,35 +293,37 @@
 }
 
 // As if it had not come. The keeper gives the last orders again to whoever joins.
-void Member::diskFailed(const Order& order) {
+void Member::diskFailed(const Command& order) {
   if (std::exchange(tellsDisk_, false))
-    journal_.order("order-not-taken", order.id, {{"why", "the disk failed"}});
-  fence_.goBack(durable_);
+    journal_.order("order-not-taken", order.token, {{"why", "the disk failed"}});
+  fence_.rollBack(durable_);
   if (link_) link_->close(LinkEnd::stopped, "the disk failed");
 }
 
-bool Member::order(const Key& key, std::string body, bool keep) {
+bool Member::sendCommand(const LeaseKey& key, std::string body, bool keep) {
   if (!joined_ || !link_ || !active_.count(key)) return false;
-  const auto id = tenures_[key].order(key, self_, bootTime());
-  if (!id || fence_.admit(*id) != duty::Verdict::taken) return false;
-  Order order{*id, keep, std::move(body)};
+  const auto id = tenures_[key].nextToken(key, self_, bootTime());
+  if (!id || fence_.admit(*id) != lease::FencingResult::accepted) return false;
+  Command order{*id, keep, std::move(body)};
   journal_.order("order-sent", *id);
   link_->send(order);
   keepThen(std::move(order));
   return true;
 }
 
-void Member::on(const Order& order) {
-  const duty::Verdict verdict = fence_.admit(order.id);
-  if (verdict == duty::Verdict::taken) return keepThen(order);
+void Member::on(const Command& order) {
+  const lease::FencingResult verdict = fence_.admit(order.token);
+  if (verdict == lease::FencingResult::accepted) return keepThen(order);
   // The last one again: it is given to whoever joins anew.
-  const auto mark = fence_.marks().find(order.id.key);
+  const auto mark = fence_.marks().find(order.token.key);
   const bool seen = mark != fence_.marks().end();
-  if (seen && mark->second.epoch == order.id.epoch && mark->second.sequence == order.id.sequence) return;
-  const bool room = toldRefused_.count(order.id.key) || toldRefused_.size() < duty::Fence::kKeysMost;
-  if (!room || std::exchange(toldRefused_[order.id.key], order.id.epoch) == order.id.epoch) return;
-  journal_.order("order-refused", order.id,
-                 {{"why", duty::nameOf(verdict)}, {"seen_epoch", seen ? mark->second.epoch : 0}});
+  if (seen && mark->second.epoch == order.token.epoch && mark->second.sequence == order.token.sequence)
+    return;
+  const bool room =
+      toldRefused_.count(order.token.key) || toldRefused_.size() < lease::FencingGate::kKeysMost;
+  if (!room || std::exchange(toldRefused_[order.token.key], order.token.epoch) == order.token.epoch) return;
+  journal_.order("order-refused", order.token,
+                 {{"why", lease::nameOf(verdict)}, {"seen_epoch", seen ? mark->second.epoch : 0}});
 }
 
 }  // namespace cairnjunction::fleet
--- a/src/http/front.cpp
+++ b/src/http/frontend.cpp
@@ -1,5 +1,5 @@
 // HTTP/1.1 for clients: makes calls of their requests and answers of the replies.
-#include "http/front.hpp"
+#include "http/frontend.hpp"
 
 #include <algorithm>
 #include <array>
@@ -21,8 +21,8 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 using boost::beast::string_view;
-using ochrehill::Duration;
-using ochrehill::Effect;
+using policy::Duration;
+using policy::Idempotency;
 using Clock = std::chrono::steady_clock;
 
 template <class Number>
@@ -95,9 +95,9 @@
 
 }  // namespace
 
-HttpFront::HttpFront(asio::io_context& io, const Listen& listen, HttpServer::Limits limits,
-                     const std::vector<ochrehill::TenantSettings>& tenants, Engine& engine,
-                     std::function<bool()> up, HttpRouting* routing)
+HttpFrontend::HttpFrontend(asio::io_context& io, const Listen& listen, HttpServer::Limits limits,
+                           const std::vector<policy::TenantSettings>& tenants, Engine& engine,
+                           std::function<bool()> up, HttpRouting* routing)
     : engine_(engine),
       up_(std::move(up)),
       routing_(routing),
@@ -108,13 +108,13 @@
   if (routing_) server_.tellClients();
 }
 
-void HttpFront::setTenants(const std::vector<ochrehill::TenantSettings>& tenants) {
+void HttpFrontend::setTenants(const std::vector<policy::TenantSettings>& tenants) {
   tenantOf_.clear();
   for (std::size_t i = 0; i < tenants.size(); ++i)
     tenantOf_.emplace(tenants[i].name, static_cast<std::uint32_t>(i));
 }
 
-void HttpFront::received(ClientRequest request) {
+void HttpFrontend::received(ClientRequest request) {
   HttpRequest& message = request.message;
   if (message.target() == "/up" && message.method() == http::verb::get)
     return server_.answer(request.exchange,
@@ -129,22 +129,23 @@
   take(request, std::move(call), engine_, {});
 }
 
-void HttpFront::take(ClientRequest& request, Call call, Engine& engine, HttpRouting::Hold hold) {
-  call.streams = true;
+void HttpFrontend::take(ClientRequest& request, Call call, Engine& engine, HttpRouting::Hold hold) {
+  call.acceptsStreaming = true;
   // Of one that waited behind others nothing may be left.
   const Duration spent = (Clock::now() - request.came) + kAnswerMargin;
-  call.facts.left = std::max(call.facts.left - spent, Duration{});
-  call.message.operation = engine.classes().byIndex()[call.facts.classIndex].name;
+  call.attributes.timeRemaining = std::max(call.attributes.timeRemaining - spent, Duration{});
+  call.message.operation = engine.classes().byIndex()[call.attributes.classIndex].name;
   // The id is known before the reply may come, which takes it out again.
   Open& open = open_[request.exchange];
   open.engine = &engine;
   open.hold = std::move(hold);
-  if (engine.take(std::move(call), *this, request.exchange, &open.id) == Engine::Taken::yes) return;
+  if (engine.accept(std::move(call), *this, request.exchange, &open.id) == Engine::AcceptResult::accepted)
+    return;
   over(open_.find(request.exchange));
   server_.answer(request.exchange, plain(http::status::conflict));
 }
 
-HttpFront::Open HttpFront::over(std::unordered_map<ExchangeId, Open>::iterator at) {
+HttpFrontend::Open HttpFrontend::over(std::unordered_map<ExchangeId, Open>::iterator at) {
   Open open = std::move(at->second);
   open_.erase(at);
   if (routing_) routing_->over(open.hold);
@@ -153,7 +154,7 @@
 
 // --- By routes ------------------------------------------------------------------------------------------
 
-void HttpFront::route(ClientRequest request) {
+void HttpFrontend::route(ClientRequest request) {
   const HttpRequest& message = request.message;
   const RequestHeaders headers(message);
   const std::string client = request.client.is_unspecified() ? "" : request.client.to_string();
@@ -181,7 +182,7 @@
   server_.answer(request.exchange, std::move(answer));
 }
 
-void HttpFront::routed(ClientRequest request, const route::Decision& decision) {
+void HttpFrontend::routed(ClientRequest request, const route::Decision& decision) {
   HttpRequest& message = request.message;
   const auto turnDown = [&](http::status status) { server_.answer(request.exchange, plain(status)); };
   Engine* engine = routing_->engineOf(decision.pool);
@@ -193,8 +194,9 @@
   const http::status status = describe(message, decision.className, *engine, call);
   if (status != http::status::ok) return turnDown(status);
   const route::Proxy& proxy = *decision.location->proxy;
-  if (proxy.timeout) call.facts.left = std::min<Duration>(call.facts.left, *proxy.timeout);
-  if (proxy.attempts && *proxy.attempts > 0) call.facts.attemptsMost = *proxy.attempts;
+  if (proxy.timeout)
+    call.attributes.timeRemaining = std::min<Duration>(call.attributes.timeRemaining, *proxy.timeout);
+  if (proxy.attempts && *proxy.attempts > 0) call.attributes.maxAttempts = *proxy.attempts;
   HttpRouting::Hold hold;
   if (const int refused = routing_->admit(decision, bytes, hold)) {
     HttpAnswer answer = plain(http::int_to_status(static_cast<unsigned>(refused)));
@@ -211,17 +213,17 @@
   take(request, std::move(call), *engine, std::move(hold));
 }
 
-http::status HttpFront::describe(const HttpRequest& message, std::string_view className, const Engine& engine,
-                                 Call& call) const {
-  ochrehill::Request& request = call.facts;
+http::status HttpFrontend::describe(const HttpRequest& message, std::string_view className,
+                                    const Engine& engine, Call& call) const {
+  policy::Request& request = call.attributes;
   const ClassIndexes& classes = engine.classes().current();
   const auto found = classes.find(std::string(className));
   if (found == classes.end()) return http::status::not_found;
   request.classIndex = found->second;
-  const ochrehill::ClassSettings& c = engine.classes().byIndex()[found->second];
+  const policy::ClassSettings& c = engine.classes().byIndex()[found->second];
   if (message.count("X-Class") && message["X-Class"] != string_view(c.name)) return http::status::bad_request;
-  call.name = message["X-Request-Id"].to_string();
-  if (call.name.empty()) return http::status::bad_request;
+  call.externalId = message["X-Request-Id"].to_string();
+  if (call.externalId.empty()) return http::status::bad_request;
   // Danger: said twice, a host may heed the other one than we do.
   for (const char* field : {"X-Request-Id", "X-Class", "X-Deadline-Ms", "Idempotency-Key"})
     if (message.count(field) > 1) return http::status::bad_request;
@@ -229,17 +231,17 @@
   // when it is repeated, so it may not pass for one.
   const bool get = message.method() == http::verb::get;
   if (!get && message.method() != http::verb::post) return http::status::method_not_allowed;
-  if (get != (c.effect == Effect::retryable)) return http::status::method_not_allowed;
-  call.key = message["Idempotency-Key"].to_string();
-  if (c.effect == Effect::dedup && call.key.empty()) return http::status::bad_request;
-  request.left = c.giveUp;
+  if (get != (c.idempotency == Idempotency::safe)) return http::status::method_not_allowed;
+  call.idempotencyKey = message["Idempotency-Key"].to_string();
+  if (c.idempotency == Idempotency::keyed && call.idempotencyKey.empty()) return http::status::bad_request;
+  request.timeRemaining = c.clientTimeout;
   if (message.count("X-Deadline-Ms")) {
     std::uint32_t ms = 0;
     if (!parse(message["X-Deadline-Ms"], ms)) return http::status::bad_request;
-    request.left = std::chrono::milliseconds(ms);
+    request.timeRemaining = std::chrono::milliseconds(ms);
   }
   std::uint32_t costUs = 0;
-  if (parse(message["X-Cost-Hint"], costUs)) request.cost = std::chrono::microseconds(costUs);
+  if (parse(message["X-Cost-Hint"], costUs)) request.expectedCost = std::chrono::microseconds(costUs);
   const auto tenant = tenantOf_.find(message["X-Tenant"].to_string());
   if (tenant != tenantOf_.end()) request.tenantIndex = tenant->second;
   const std::string_view key = route::cookie(view(message[http::field::cookie]), "obj");
@@ -248,17 +250,17 @@
   return http::status::ok;
 }
 
-void HttpFront::clientGone(ExchangeId exchange) {
+void HttpFrontend::clientGone(ExchangeId exchange) {
   const auto known = open_.find(exchange);
   if (known == open_.end()) return;
   const Open open = over(known);
-  open.engine->abandon(open.id);
+  open.engine->clientDisconnected(open.id);
 }
 
-void HttpFront::onReply(std::uint64_t ticket, Reply reply) {
+void HttpFrontend::onReply(std::uint64_t ticket, Reply reply) {
   if (const auto known = open_.find(ticket); known != open_.end()) over(known);
   HttpAnswer answer;
-  if (reply.verdict == Verdict::served) {
+  if (reply.status == ReplyStatus::ok) {
     answer.fromHost = true;
     if (reply.message.declined) answer.status = http::status::unprocessable_entity;
     answer.fields = std::move(reply.message.fields);
@@ -266,7 +268,7 @@
     answer.body = std::move(reply.message.body);
     answer.rest = std::move(reply.message.rest);
     answer.length = reply.message.length;
-  } else if (reply.verdict == Verdict::refused) {
+  } else if (reply.status == ReplyStatus::rejected) {
     answer.status = http::status::service_unavailable;
     if (reply.retryAfter > Duration{}) {
       std::array<char, 32> text{};
--- a/src/http/front.hpp
+++ b/src/http/frontend.hpp
@@ -10,28 +10,27 @@
 #include <unordered_map>
 #include <vector>
 
+#include "cairnjunction/load_balancer.hpp"
 #include "core/engine.hpp"
 #include "http/routing.hpp"
 #include "http/server.hpp"
-#include "ochrehill/ochrehill.hpp"
 
 namespace cairnjunction {
 
-class HttpFront final : public ReplySink {
+class HttpFrontend final : public ReplySink {
  public:
   // Listens at once; throws boost::system::system_error. `engine` must outlive it. `up` tells
   // whether GET /up is answered 200. With `routing`, which must outlive it too, requests go by routes;
   // otherwise all go to `engine`.
-  HttpFront(boost::asio::io_context& io, const Listen& listen, HttpServer::Limits limits,
-            const std::vector<ochrehill::TenantSettings>& tenants, Engine& engine, std::function<bool()> up,
-            HttpRouting* routing = nullptr);
-  HttpFront(const HttpFront&) = delete;
-  HttpFront& operator=(const HttpFront&) = delete;
+  HttpFrontend(boost::asio::io_context& io, const Listen& listen, HttpServer::Limits limits,
+               const std::vector<policy::TenantSettings>& tenants, Engine& engine, std::function<bool()> up,
+               HttpRouting* routing = nullptr);
+  HttpFrontend(const HttpFrontend&) = delete;
+  HttpFrontend& operator=(const HttpFrontend&) = delete;
 
   HttpServer& server() { return server_; }
   const HttpServer& server() const { return server_; }
-  void setTenants(
-      const std::vector<ochrehill::TenantSettings>& tenants);  // by whose index calls go from now on
+  void setTenants(const std::vector<policy::TenantSettings>& tenants);  // by whose index calls go from now on
   void onReply(std::uint64_t ticket, Reply reply) override;
 
  private:
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -109,7 +109,7 @@
   return text;
 }
 
-std::string wireText(const Call& call, const boost::asio::ip::tcp::endpoint& host, ochrehill::Duration limit,
+std::string wireText(const Call& call, const boost::asio::ip::tcp::endpoint& host, policy::Duration limit,
                      std::string_view& body) {
   const Message& m = call.message;
   // A call that came by another protocol has no verb: what may be repeated at will is a GET, and takes what
@@ -127,8 +127,9 @@
   if (m.authority.empty())
     text.append(host.address().to_string()).append(":").append(std::to_string(host.port()));
   else text.append(m.authority);
-  text.append("\r\nX-Request-Id: ").append(call.name).append("\r\n");
-  if (!call.key.empty()) text.append("Idempotency-Key: ").append(call.key).append("\r\n");
+  text.append("\r\nX-Request-Id: ").append(call.externalId).append("\r\n");
+  if (!call.idempotencyKey.empty())
+    text.append("Idempotency-Key: ").append(call.idempotencyKey).append("\r\n");
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(limit).count();
   addNumber(text, "X-Deadline-Ms: ", static_cast<std::uint64_t>(std::max<std::int64_t>(ms, 1)));
   text.append(m.fields.text());
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -42,7 +42,7 @@
 // What a call is to a host up to its body; `body` is set to what of it is to be written behind, which is
 // nothing for small ones, and stays the call's. The host is told how long it is waited for: `limit`, in whole
 // milliseconds.
-std::string wireText(const Call& call, const boost::asio::ip::tcp::endpoint& host, ochrehill::Duration limit,
+std::string wireText(const Call& call, const boost::asio::ip::tcp::endpoint& host, policy::Duration limit,
                      std::string_view& body);
 
 // What a client asks, without what concerns only its connection (RFC 9110, 7.6.1) and what wireText writes
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -13,8 +13,8 @@
 #include <memory>
 #include <unordered_map>
 
+#include "common/callback_guard.hpp"
 #include "http/message.hpp"
-#include "lifetime.hpp"
 
 namespace cairnjunction {
 
@@ -102,7 +102,7 @@
   std::unordered_map<ExchangeId, std::shared_ptr<Session>> waiting_;
   ExchangeId lastExchange_ = 0;
   bool last_ = false, closing_ = false, tellClients_ = false;
-  Lifetime lifetime_;  // of what the event loop is still to call
+  CallbackGuard lifetime_;  // of what the event loop is still to call
 };
 
 }  // namespace cairnjunction
--- a/src/http/upstream.cpp
+++ b/src/http/upstream.cpp
@@ -14,7 +14,7 @@
 #include <utility>
 
 #include "http/framing.hpp"
-#include "upstream/dial.hpp"
+#include "upstream/connect_failure.hpp"
 
 namespace cairnjunction {
 namespace {
@@ -22,11 +22,11 @@
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 using boost::system::error_code;
-using ochrehill::Carrier;
-using ochrehill::Duration;
-using ochrehill::Fault;
-using ochrehill::HostId;
-using ochrehill::Outcome;
+using policy::ConnectionUse;
+using policy::Duration;
+using policy::EndpointId;
+using policy::FailureReason;
+using policy::Outcome;
 using tcp = asio::ip::tcp;
 using Clock = std::chrono::steady_clock;
 
@@ -56,7 +56,7 @@
   };
 
   HttpUpstream* pool;
-  HostId host;
+  EndpointId host;
   tcp::socket socket;
   asio::steady_timer timer;
   boost::beast::flat_buffer buffer{kHeaderLimit + kHeldAnswer};
@@ -79,7 +79,7 @@
   int interim = 0;
   std::uint64_t bodyBytes = 0;
 
-  Connection(HttpUpstream& p, HostId h) : pool(&p), host(h), socket(p.io_), timer(p.io_) {
+  Connection(HttpUpstream& p, EndpointId h) : pool(&p), host(h), socket(p.io_), timer(p.io_) {
     ++p.open_;
     p.count(h, 1, 0);
   }
@@ -93,11 +93,11 @@
     socket.close(ignored);
     if (const auto broken = std::exchange(stream, nullptr)) broken->fail();
     --pool->open_;
-    if (pool->share_) pool->share_->give();
+    if (pool->share_) pool->share_->release();
     if (!detached) pool->count(host, -1, up ? -1 : 0);
   }
 
-  void limit(Clock::time_point at, Outcome outcome, Fault fault = Fault::unknown) {
+  void limit(Clock::time_point at, Outcome outcome, FailureReason fault = FailureReason::unknown) {
     timer.expires_at(at);
     timer.async_wait([self = shared_from_this(), mine = ++turn, outcome, fault](error_code ec) {
       if (!ec && mine == self->turn && self->phase != Phase::closed) self->end(outcome, fault);
@@ -109,18 +109,18 @@
     // that it never ran, as the end of the time for connecting does.
     const auto connectBy = sentAt + pool->limits_.connectTimeout;
     const auto ownTime = std::min(deadline, writeBy);
-    if (ownTime < connectBy) limit(ownTime, Outcome::connectFailed, Fault::outOfTime);
-    else limit(connectBy, Outcome::connectFailed, Fault::dialSilent);
+    if (ownTime < connectBy) limit(ownTime, Outcome::connectFailed, FailureReason::attemptTimeout);
+    else limit(connectBy, Outcome::connectFailed, FailureReason::connectTimeout);
     error_code ec;
     socket.open(endpoint.protocol(), ec);  // fails when no descriptor is left
     if (!ec) socket.non_blocking(true, ec);
-    if (ec) return end(Outcome::connectFailed, Fault::noDescriptor);
+    if (ec) return end(Outcome::connectFailed, FailureReason::noDescriptor);
     socket.async_connect(endpoint, [self = shared_from_this()](error_code connectError) {
       if (self->phase != Phase::connecting) return;
-      if (connectError) return self->end(Outcome::connectFailed, faultOfDial(connectError));
+      if (connectError) return self->end(Outcome::connectFailed, connectFailureReason(connectError));
       self->up = true;
       self->pool->count(self->host, 0, 1);
-      if (!self->wanted()) return self->end(Outcome::connectFailed, Fault::withdrawn);
+      if (!self->wanted()) return self->end(Outcome::connectFailed, FailureReason::cancelledBeforeSend);
       error_code ignored;
       self->socket.set_option(tcp::no_delay(true), ignored);
       self->write();
@@ -142,8 +142,8 @@
     timer.expires_at(at);
     timer.async_wait([self = shared_from_this(), mine = ++turn](error_code ec) {
       if (ec || mine != self->turn || self->phase != Phase::quiet) return;
-      if (!self->wanted()) self->end(Outcome::connectFailed, Fault::withdrawn);
-      else if (!self->usable()) self->end(Outcome::connectFailed, Fault::lostInWrite);
+      if (!self->wanted()) self->end(Outcome::connectFailed, FailureReason::cancelledBeforeSend);
+      else if (!self->usable()) self->end(Outcome::connectFailed, FailureReason::brokenWhileWriting);
       else self->write();
     });
   }
@@ -154,7 +154,7 @@
     phase = Phase::writing;
     request = wireText(*call, endpoint, deadline - Clock::now(), body);
     written = 0;
-    limit(std::min(deadline, writeBy), Outcome::connectFailed, Fault::outOfTime);
+    limit(std::min(deadline, writeBy), Outcome::connectFailed, FailureReason::attemptTimeout);
     writeOn();
   }
 
@@ -162,7 +162,8 @@
   // the event loop's queue, and then it could not be told whether the last byte was written.
   void writeOn() {
     // Danger: the timer may be late.
-    if (Clock::now() >= std::min(deadline, writeBy)) return end(Outcome::connectFailed, Fault::outOfTime);
+    if (Clock::now() >= std::min(deadline, writeBy))
+      return end(Outcome::connectFailed, FailureReason::attemptTimeout);
     const std::size_t whole = request.size() + body.size();
     while (written < whole) {
       const std::string_view head = std::string_view(request).substr(std::min(written, request.size()));
@@ -171,7 +172,7 @@
       error_code ec;
       written += socket.write_some(text, ec);
       if (ec == asio::error::would_block || ec == asio::error::try_again) return writeSoon();
-      if (ec) return end(Outcome::connectFailed, Fault::lostInWrite);
+      if (ec) return end(Outcome::connectFailed, FailureReason::brokenWhileWriting);
     }
     pool->dispatched();
     body = {};
@@ -183,7 +184,7 @@
   void writeSoon() {
     socket.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code ec) {
       if (self->phase != Phase::writing) return;
-      if (ec) return self->end(Outcome::connectFailed, Fault::lostInWrite);
+      if (ec) return self->end(Outcome::connectFailed, FailureReason::brokenWhileWriting);
       self->writeOn();
     });
   }
@@ -224,25 +225,27 @@
       if (!headSeen) {
         const auto data = buffer.data();
         const auto state = scanner.scan({static_cast<const char*>(data.data()), data.size()});
-        if (state == HeadScanner::State::bad) return end(Outcome::error, Fault::spoilt);
+        if (state == HeadScanner::State::bad) return end(Outcome::error, FailureReason::malformedResponse);
         if (state == HeadScanner::State::more && buffer.size() > kHeaderLimit)
-          return end(Outcome::error, Fault::spoilt);
+          return end(Outcome::error, FailureReason::malformedResponse);
         if (state == HeadScanner::State::more) return receive();
         headSeen = true;
       }
-      if (!takeBody()) return end(Outcome::error, Fault::spoilt);
+      if (!takeBody()) return end(Outcome::error, FailureReason::malformedResponse);
       // One that says no by its head alone is not waited for to the end of the connection.
       if (answer && !parser->is_done() && !framed() && judge() != Outcome::served) return end(judge());
       if (!parser->is_done()) {
         // The parser bounds head and body, not the head of a chunk; the buffer would throw when it is full.
-        if (buffer.size() + kLargeChunk > buffer.max_size()) return end(Outcome::error, Fault::spoilt);
+        if (buffer.size() + kLargeChunk > buffer.max_size())
+          return end(Outcome::error, FailureReason::malformedResponse);
         if (!passOn()) return;
         return receive();
       }
       const unsigned status = parser->get().result_int();
-      if (status / 100 != 1) return end(judge(), Fault::unknown, reusable());
+      if (status / 100 != 1) return end(judge(), FailureReason::unknown, reusable());
       // What comes ahead of an answer is none. Nobody asked to change the protocol, so a 101 is nonsense.
-      if (status == 101 || ++interim > kInterimMost) return end(Outcome::error, Fault::spoilt);
+      if (status == 101 || ++interim > kInterimMost)
+        return end(Outcome::error, FailureReason::malformedResponse);
       renew();
     }
   }
@@ -280,7 +283,8 @@
     if (!answer && !stream) return true;
     if (!stream) {
       if (answer->body.size() <= kHeldAnswer) return true;
-      if (judge() != Outcome::served || !streams) return end(Outcome::error, Fault::spoilt), false;
+      if (judge() != Outcome::served || !streams)
+        return end(Outcome::error, FailureReason::malformedResponse), false;
       stream = std::make_shared<BodyStream>(kPassing);
       stream->onLeft = [self = weak_from_this()] {
         if (const auto here = self.lock()) here->clientLeft();
@@ -288,11 +292,11 @@
       stream->onRoom = [self = weak_from_this()] {
         if (const auto here = self.lock()) here->resume();
       };
-      AttemptEnd begun{key, host, Outcome::served, Clock::now() - sentAt, std::move(*answer)};
+      AttemptOutcome begun{key, host, Outcome::served, Clock::now() - sentAt, std::move(*answer)};
       answer.emplace();
-      begun.carrier = used ? Carrier::reused : Carrier::fresh;
-      begun.answer.rest = stream;
-      if (parser->content_length()) begun.answer.length = *parser->content_length();
+      begun.connectionUse = used ? ConnectionUse::reused : ConnectionUse::opened;
+      begun.response.rest = stream;
+      if (parser->content_length()) begun.response.length = *parser->content_length();
       limit(Clock::now() + kStalled, Outcome::reset);
       // Danger: the module takes the attempt for over, and may forget the host and give its id to another.
       detached = true;
@@ -331,9 +335,10 @@
     const http::status status = head.result();
     if (status == http::status::ok) return Outcome::served;
     const bool busy = status == http::status::service_unavailable || status == http::status::gateway_timeout;
-    if (busy && head["X-Not-Run"] == "1") return Outcome::full;
+    if (busy && head["X-Not-Run"] == "1") return Outcome::overloaded;
     // Told by the protocol to mean the request, not the host: sent to others it would be turned away again.
-    if (status == http::status::bad_request || status == http::status::not_found) return Outcome::rejected;
+    if (status == http::status::bad_request || status == http::status::not_found)
+      return Outcome::invalidRequest;
     return Outcome::error;  // it may have run, whatever the answer says
   }
 
@@ -342,20 +347,20 @@
 
   // Ends the attempt. The connection is kept only after a whole answer: what comes late on one that was
   // given up would be taken for the answer to the next request.
-  void end(Outcome outcome, Fault fault = Fault::unknown, bool keep = false) {
+  void end(Outcome outcome, FailureReason fault = FailureReason::unknown, bool keep = false) {
     const auto self = shared_from_this();
-    AttemptEnd done{key, host, outcome, Clock::now() - sentAt, {}, fault};
-    done.carrier = used ? Carrier::reused : up ? Carrier::fresh : Carrier::none;
+    AttemptOutcome done{key, host, outcome, Clock::now() - sentAt, {}, fault};
+    done.connectionUse = used ? ConnectionUse::reused : up ? ConnectionUse::opened : ConnectionUse::none;
     used = true;
     const auto passed = std::exchange(stream, nullptr);
-    if (outcome == Outcome::served && answer) done.answer = std::move(*answer);
+    if (outcome == Outcome::served && answer) done.response = std::move(*answer);
     answer.reset();
     parser.reset();
     pool->busy_.erase(key);
     const auto known = pool->hosts_.find(host);
-    done.kept = keep && known != pool->hosts_.end() && known->second.serving &&
-                (!detached || known->second.endpoint == endpoint);
-    if (done.kept) {
+    done.connectionKept = keep && known != pool->hosts_.end() && known->second.serving &&
+                          (!detached || known->second.endpoint == endpoint);
+    if (done.connectionKept) {
       if (std::exchange(detached, false)) pool->count(host, 1, 1);
       rest(known->second);
     } else {
@@ -384,7 +389,8 @@
     socket.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code) {
       self->watching = false;
       if (self->phase == Phase::idle) self->pool->dropIdle(self);
-      else if (self->phase == Phase::quiet) self->end(Outcome::connectFailed, Fault::lostInWrite);
+      else if (self->phase == Phase::quiet)
+        self->end(Outcome::connectFailed, FailureReason::brokenWhileWriting);
     });
   }
 
@@ -397,7 +403,7 @@
   }
 };
 
-HttpUpstream::HttpUpstream(asio::io_context& io, Limits limits, Ended ended, AnswerStarted started)
+HttpUpstream::HttpUpstream(asio::io_context& io, Limits limits, Ended ended, ResponseStarted started)
     : io_(io), limits_(limits), ended_(std::move(ended)), started_(std::move(started)), sweeper_(io) {
   sweep();
 }
@@ -412,7 +418,7 @@
     for (auto& connection : std::exchange(host.idle, {})) connection->close();
 }
 
-bool HttpUpstream::list(HostId host, const tcp::endpoint& endpoint, bool serving) {
+bool HttpUpstream::updateEndpoint(EndpointId host, const tcp::endpoint& endpoint, bool serving) {
   Host& h = hosts_[host];
   countFrom(host);
   // One that is gone may be named without its address.
@@ -424,37 +430,37 @@
   return moved && !first;
 }
 
-void HttpUpstream::unlistAll() {
+void HttpUpstream::removeAllEndpoints() {
   for (auto& [id, host] : hosts_) host.serving = false;
 }
 
-void HttpUpstream::forget(HostId host) {
+void HttpUpstream::forget(EndpointId host) {
   closeIdle(host);
   hosts_.erase(host);
   countNoMore(host);
 }
 
-void HttpUpstream::start(AttemptKey key, HostId host, const Call& call, const AttemptLimits& limits) {
+void HttpUpstream::start(AttemptKey key, EndpointId host, const Call& call, const AttemptTimeouts& limits) {
   const auto now = Clock::now();
   const auto known = hosts_.find(host);
-  if (known == hosts_.end()) return ended_(unreached(key, host, Fault::withdrawn));
+  if (known == hosts_.end()) return ended_(unreached(key, host, FailureReason::cancelledBeforeSend));
   std::shared_ptr<Connection> connection = takeIdle(known->second);
   const bool fresh = !connection;
   if (fresh) {
     if (open_ >= limits_.connections && !closeOldestIdle())
-      return ended_(unreached(key, host, Fault::noDescriptor));
+      return ended_(unreached(key, host, FailureReason::noDescriptor));
     // Given back by its end. An idle one of ours may make room for it.
-    if (share_ && !share_->take() && !(closeOldestIdle() && share_->take()))
-      return ended_(unreached(key, host, Fault::noDescriptor));
+    if (share_ && !share_->acquire() && !(closeOldestIdle() && share_->acquire()))
+      return ended_(unreached(key, host, FailureReason::noDescriptor));
     connection = std::make_shared<Connection>(*this, host);
   }
   connection->key = key;
-  connection->streams = call.streams && started_;
+  connection->streams = call.acceptsStreaming && started_;
   connection->call = &call;
   connection->endpoint = known->second.endpoint;
   connection->sentAt = now;
-  connection->deadline = now + std::max(limits.answer, Duration::zero());
-  connection->writeBy = limits.written == Duration::max() ? Clock::time_point::max() : now + limits.written;
+  connection->deadline = now + std::max(limits.response, Duration::zero());
+  connection->writeBy = limits.write == Duration::max() ? Clock::time_point::max() : now + limits.write;
   busy_.emplace(key, connection);
   if (fresh) connection->connect();
   else connection->writeWhenQuiet();
@@ -467,17 +473,17 @@
   connection->end(Outcome::cancelled);
 }
 
-void HttpUpstream::withdraw(AttemptKey key) {
+void HttpUpstream::cancelIfUnsent(AttemptKey key) {
   const auto it = busy_.find(key);
   if (it == busy_.end()) return;
   const auto connection = it->second;
   const Connection::Phase phase = connection->phase;
   if (phase == Connection::Phase::connecting || phase == Connection::Phase::quiet ||
       phase == Connection::Phase::writing)
-    connection->end(Outcome::connectFailed, Fault::withdrawn);
+    connection->end(Outcome::connectFailed, FailureReason::cancelledBeforeSend);
 }
 
-void HttpUpstream::closeIdle(HostId host) {
+void HttpUpstream::closeIdle(EndpointId host) {
   if (const auto known = hosts_.find(host); known != hosts_.end())
     for (auto& connection : std::exchange(known->second.idle, {})) connection->close();
 }
--- a/src/http/upstream.hpp
+++ b/src/http/upstream.hpp
@@ -13,47 +13,49 @@
 #include <unordered_map>
 #include <vector>
 
+#include "cairnjunction/load_balancer.hpp"
+#include "common/callback_guard.hpp"
 #include "core/call.hpp"
 #include "http/message.hpp"
-#include "lifetime.hpp"
-#include "ochrehill/ochrehill.hpp"
-#include "upstream/host_upstream.hpp"
-#include "upstream/share.hpp"
+#include "upstream/descriptor_quota.hpp"
+#include "upstream/endpoint_upstream.hpp"
 
 namespace cairnjunction {
 
-class HttpUpstream final : public HostUpstream {
+class HttpUpstream final : public EndpointUpstream {
  public:
   struct Limits {
-    std::size_t connections = 256;         // over all hosts
-    ochrehill::Duration connectTimeout{};  // for a new one
-    ochrehill::Duration idleClose{};       // the host closes idle ones after this at the latest; 0 = never
+    std::size_t connections = 256;      // over all hosts
+    policy::Duration connectTimeout{};  // for a new one
+    policy::Duration idleClose{};       // the host closes idle ones after this at the latest; 0 = never
     // Nothing is written to a connection for so long after an answer. Danger: a host that answers twice does
     // it some milliseconds late, and the second answer would be taken for that to the next request.
-    ochrehill::Duration quiet = std::chrono::milliseconds(5);
+    policy::Duration quiet = std::chrono::milliseconds(5);
   };
-  using Ended = std::function<void(AttemptEnd)>;
+  using Ended = std::function<void(AttemptOutcome)>;
 
   // Without `started` no answer is passed on while it comes: one above kHeldAnswer is spoilt.
-  HttpUpstream(boost::asio::io_context& io, Limits limits, Ended ended, AnswerStarted started = nullptr);
+  HttpUpstream(boost::asio::io_context& io, Limits limits, Ended ended, ResponseStarted started = nullptr);
   ~HttpUpstream() override;
   HttpUpstream(const HttpUpstream&) = delete;
   HttpUpstream& operator=(const HttpUpstream&) = delete;
 
   void setLimits(const Limits& limits) { limits_ = limits; }
   // Beside the limit each connection is then one of a part shared with others. `share` must outlive us.
-  void shareDescriptors(DescriptorShare* share) { share_ = share; }
-  bool list(ochrehill::HostId host, const boost::asio::ip::tcp::endpoint& endpoint, bool serving) override;
-  void unlistAll() override;
-  void forget(ochrehill::HostId host) override;
+  void shareDescriptors(DescriptorQuota* share) { share_ = share; }
+  bool updateEndpoint(policy::EndpointId host, const boost::asio::ip::tcp::endpoint& endpoint,
+                      bool serving) override;
+  void removeAllEndpoints() override;
+  void forget(policy::EndpointId host) override;
   // Sends on the latest used idle connection if there is one.
-  void start(AttemptKey key, ochrehill::HostId host, const Call& call, const AttemptLimits& limits) override;
+  void start(AttemptKey key, policy::EndpointId host, const Call& call,
+             const AttemptTimeouts& limits) override;
   void cancel(AttemptKey key) override;
-  void withdraw(AttemptKey key) override;
-  void closeIdle(ochrehill::HostId host) override;
+  void cancelIfUnsent(AttemptKey key) override;
+  void closeIdle(policy::EndpointId host) override;
   void stop() override;
-  std::size_t connections() const override { return open_; }
-  std::size_t hosts() const override { return hosts_.size(); }
+  std::size_t connectionCount() const override { return open_; }
+  std::size_t endpointCount() const override { return hosts_.size(); }
 
  private:
   struct Connection;
@@ -71,13 +73,13 @@
   boost::asio::io_context& io_;
   Limits limits_;
   Ended ended_;
-  AnswerStarted started_;
-  DescriptorShare* share_ = nullptr;  // null: the limit alone
-  std::unordered_map<ochrehill::HostId, Host> hosts_;
+  ResponseStarted started_;
+  DescriptorQuota* share_ = nullptr;  // null: the limit alone
+  std::unordered_map<policy::EndpointId, Host> hosts_;
   std::unordered_map<AttemptKey, std::shared_ptr<Connection>, AttemptKeyHash> busy_;
   std::size_t open_ = 0;
   boost::asio::steady_timer sweeper_;
-  Lifetime lifetime_;  // of what the event loop is still to call
+  CallbackGuard lifetime_;  // of what the event loop is still to call
 };
 
 }  // namespace cairnjunction
