--- a/src/jsonrpc/front.cpp
+++ b/src/jsonrpc/frontend.cpp
@@ -1,5 +1,5 @@
 // JSON-RPC for clients over TCP.
-#include "jsonrpc/front.hpp"
+#include "jsonrpc/frontend.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -10,8 +10,8 @@
 namespace cairnjunction::jsonrpc {
 namespace {
 
-using ochrehill::Duration;
-using ochrehill::Effect;
+using policy::Duration;
+using policy::Idempotency;
 using Clock = std::chrono::steady_clock;
 
 constexpr auto kExpire = std::chrono::seconds(1);
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-Front::Front(boost::asio::io_context& io, const Settings& settings, Engine& engine, std::string gateway)
+Frontend::Frontend(boost::asio::io_context& io, const Settings& settings, Engine& engine, std::string gateway)
     : settings_(settings),
       engine_(engine),
       gateway_(std::move(gateway)),
@@ -54,9 +54,9 @@
   expire();
 }
 
-ochrehill::Time Front::now() const { return Clock::now() - start_; }
+policy::Timestamp Frontend::now() const { return Clock::now() - start_; }
 
-void Front::expire() {
+void Frontend::expire() {
   expirer_.expires_after(kExpire);
   expirer_.async_wait(lifetime_.guard([this](boost::system::error_code ec) {
     if (ec) return;
@@ -65,14 +65,14 @@
   }));
 }
 
-void Front::stopAccepting(std::function<void()> onEmpty) {
+void Frontend::stopAccepting(std::function<void()> onEmpty) {
   server_.onEmpty = std::move(onEmpty);
   server_.stopAccepting();
 }
 
 // --- Texts ----------------------------------------------------------------------------------------------
 
-void Front::received(ConnectionId id, std::string_view text, Clock::time_point began) {
+void Frontend::received(ConnectionId id, std::string_view text, Clock::time_point began) {
   const Request& request = parser_.parseRequest(text, settings_.limits.batch);
   if (request.error != 0) {
     std::string reply;
@@ -99,7 +99,7 @@
 }
 
 // How long the client waits for this entry; the largest there is if nothing is run for it.
-Duration Front::timeFor(std::size_t i, const Entry& entry) const {
+Duration Frontend::timeFor(std::size_t i, const Entry& entry) const {
   if (entry.kind == Entry::Kind::invalid) return Duration::max();
   const auto known = methods_.find(entry.method);
   if (known == methods_.end()) return Duration::max();
@@ -112,8 +112,8 @@
   return std::min<Duration>(method.deadline, std::chrono::milliseconds(ms));
 }
 
-void Front::take(ConnectionId id, const GroupPtr& group, std::size_t place, const Entry& entry,
-                 Duration left) {
+void Frontend::take(ConnectionId id, const GroupPtr& group, std::size_t place, const Entry& entry,
+                    Duration left) {
   if (entry.kind == Entry::Kind::invalid)
     return fail(group, place, entry, kInvalidRequest, std::string("Invalid Request: ") + entry.error);
   if (entry.method == kSessionMethod) return openSession(id, group, place, entry);
@@ -150,14 +150,14 @@
 
 // Danger: two replies with one id can't be told apart by the client. So the id has the first one's, and the
 // second entry is answered by an error that has none. Null ids are nobody's.
-bool Front::firstOfItsId(const Peer& peer, Group& group, const Entry& entry) const {
+bool Frontend::firstOfItsId(const Peer& peer, Group& group, const Entry& entry) const {
   if (entry.kind != Entry::Kind::call || entry.key.empty()) return true;
   if (peer.keys.count(entry.key)) return false;
   return !group.batch || group.keys.insert(entry.key).second;
 }
 
-void Front::start(ConnectionId id, const GroupPtr& group, std::size_t place, const Entry& entry,
-                  const MethodSettings& method, Duration left) {
+void Frontend::start(ConnectionId id, const GroupPtr& group, std::size_t place, const Entry& entry,
+                     const MethodSettings& method, Duration left) {
   Peer& peer = peers_[id];
   const std::uint64_t ticket = ++lastTicket_;
   const bool call = entry.kind == Entry::Kind::call;
@@ -174,24 +174,24 @@
     const auto key = parser_.param(place, method.keyAt);
     const bool good = key && !key->empty() && key->size() <= kKeyMost && visible(*key);
     // Danger: a keyed call with no key is dropped by nobody when it is repeated.
-    if (!good && (key || method.effect == Effect::dedup))
+    if (!good && (key || method.effect == Idempotency::keyed))
       return turnAway(kInvalidParams,
                       "Invalid params: no key, or not 1 to 256 visible characters, at " + method.keyAt);
-    if (good) out.key = *key;
+    if (good) out.idempotencyKey = *key;
   }
   if (!method.objectAt.empty())
     if (const auto object = parser_.param(place, method.objectAt)) {
-      out.facts.hasKey = true;
-      out.facts.key = std::hash<std::string>{}(*object);
+      out.attributes.hasKey = true;
+      out.attributes.key = std::hash<std::string>{}(*object);
     }
-  out.name = gateway_ + std::to_string(ticket);
-  out.facts.classIndex = method.classIndex;
-  out.facts.left = left;
+  out.externalId = gateway_ + std::to_string(ticket);
+  out.attributes.classIndex = method.classIndex;
+  out.attributes.timeRemaining = left;
   out.message.operation = method.name;
   out.message.target = method.target;
   out.message.body = std::string(entry.params);
   out.message.format = Format::json;
-  out.message.safe = method.effect == Effect::retryable;
+  out.message.safe = method.effect == Idempotency::safe;
   Slot& slot = slots_[ticket];
   slot.connection = id;
   slot.version = entry.version;
@@ -211,13 +211,13 @@
   }
   server_.holds(id, peer.open);
   // A client of another front may have thought of the same name.
-  if (engine_.take(std::move(out), *this, ticket, &slot.call) != Engine::Taken::yes)
-    onReply(ticket, {Verdict::refused, {}, {}});
+  if (engine_.accept(std::move(out), *this, ticket, &slot.call) != Engine::AcceptResult::accepted)
+    onReply(ticket, {ReplyStatus::rejected, {}, {}});
 }
 
 // The call of this id runs since before its connection dropped: its reply goes to this one.
-void Front::join(ConnectionId id, const GroupPtr& group, std::size_t place, const Entry& entry,
-                 std::uint64_t ticket) {
+void Frontend::join(ConnectionId id, const GroupPtr& group, std::size_t place, const Entry& entry,
+                    std::uint64_t ticket) {
   const auto it = slots_.find(ticket);
   if (it == slots_.end()) return fail(group, place, entry, kInternalError, "Internal error");
   Slot& slot = it->second;
@@ -233,7 +233,7 @@
   server_.holds(id, ++peer.open);
 }
 
-void Front::openSession(ConnectionId id, const GroupPtr& group, std::size_t place, const Entry& entry) {
+void Frontend::openSession(ConnectionId id, const GroupPtr& group, std::size_t place, const Entry& entry) {
   const auto name = parser_.param(place, "/name"), resume = parser_.param(place, "/resume");
   if (!name || name->size() < kNameLeast || name->size() > kNameMost || !visible(*name))
     return fail(group, place, entry, kInvalidParams,
@@ -271,7 +271,7 @@
 
 // --- Replies --------------------------------------------------------------------------------------------
 
-void Front::onReply(std::uint64_t ticket, Reply reply) {
+void Frontend::onReply(std::uint64_t ticket, Reply reply) {
   const auto it = slots_.find(ticket);
   if (it == slots_.end()) return;
   Slot slot = std::move(it->second);
@@ -279,7 +279,7 @@
   server_.release(slot.bytes);
   leave(ticket, slot);
   if (!slot.group && slot.session == 0) return;  // nobody is to be told
-  const bool neverRan = reply.verdict == Verdict::refused;
+  const bool neverRan = reply.status == ReplyStatus::rejected;
   Result result = resultOf(std::move(reply), slot.safe, checker_);
   if (slot.group) deliver(slot.group, slot.place, slot.version, slot.id, result);
   if (slot.session == 0) return;
@@ -288,7 +288,7 @@
 }
 
 // Its connection waits for it no longer.
-void Front::leave(std::uint64_t ticket, const Slot& slot) {
+void Frontend::leave(std::uint64_t ticket, const Slot& slot) {
   const auto known = peers_.find(slot.connection);
   if (known == peers_.end()) return;
   Peer& peer = known->second;
@@ -298,8 +298,8 @@
   if (!slot.group) server_.holds(slot.connection, peer.open);  // else with its reply
 }
 
-void Front::fail(const GroupPtr& group, std::size_t place, const Entry& entry, int code,
-                 std::string_view message, std::string_view data) {
+void Frontend::fail(const GroupPtr& group, std::size_t place, const Entry& entry, int code,
+                    std::string_view message, std::string_view data) {
   if (entry.kind == Entry::Kind::notification) return;  // not answered, whatever becomes of it (4.1)
   ++group->pending;
   // The id of an invalid request is null (5), also where one could be read: it may be another call's.
@@ -307,8 +307,8 @@
   deliver(group, place, entry.version, id, {true, errorText(code, message, data)});
 }
 
-void Front::deliver(const GroupPtr& group, std::size_t place, int version, std::string_view id,
-                    const Result& result) {
+void Frontend::deliver(const GroupPtr& group, std::size_t place, int version, std::string_view id,
+                       const Result& result) {
   std::string& text = group->replies[place];
   // Danger: a thousand answers that wait for the last of their batch may be large. What can't be held is
   // told.
@@ -322,7 +322,7 @@
   complete(group);
 }
 
-void Front::complete(const GroupPtr& group) {
+void Frontend::complete(const GroupPtr& group) {
   if (--group->pending > 0) return;
   server_.release(group->bytes);
   const ConnectionId id = group->connection;
@@ -343,19 +343,19 @@
 
 // --- Connections ----------------------------------------------------------------------------------------
 
-void Front::bad(ConnectionId id, const char* why) {
+void Frontend::bad(ConnectionId id, const char* why) {
   std::string reply;
   appendReply(2, "null", {true, errorText(kParseError, std::string("Parse error: ") + why)}, reply);
   server_.write(id, reply);
   server_.closeAfterReplies(id);
 }
 
-void Front::gone(ConnectionId id) {
+void Frontend::gone(ConnectionId id) {
   if (const auto known = peers_.find(id); known != peers_.end()) drop(id, known->second);
 }
 
 // With no session the client has gone. In one its calls go on, and their answers are held for it.
-void Front::drop(ConnectionId id, Peer& peer) {
+void Frontend::drop(ConnectionId id, Peer& peer) {
   Peer old = std::move(peer);
   peers_.erase(id);
   if (old.session != 0) {
@@ -373,7 +373,7 @@
     const CallId call = slot.call;
     server_.release(slot.bytes);
     slots_.erase(it);
-    engine_.abandon(call);
+    engine_.clientDisconnected(call);
   }
 }
 
--- a/src/jsonrpc/front.hpp
+++ b/src/jsonrpc/frontend.hpp
@@ -14,27 +14,27 @@
 #include <unordered_set>
 #include <vector>
 
+#include "common/callback_guard.hpp"
 #include "core/engine.hpp"
 #include "jsonrpc/parser.hpp"
 #include "jsonrpc/reply.hpp"
 #include "jsonrpc/server.hpp"
 #include "jsonrpc/session_table.hpp"
 #include "jsonrpc/settings.hpp"
-#include "lifetime.hpp"
 
 namespace cairnjunction::jsonrpc {
 
 // The methods of the gateway itself; the specification keeps the names that begin with `rpc.` for such.
 inline constexpr std::string_view kSessionMethod = "rpc.session";
 
-class Front final : public ReplySink {
+class Frontend final : public ReplySink {
  public:
   // Listens at once; throws boost::system::system_error. `settings` were resolved against the module's, and
   // have a listener. `gateway`: a name that no other gateway before the same workers has, nor this one before
   // a restart; the names of calls begin with it. All references must outlive the front.
-  Front(boost::asio::io_context& io, const Settings& settings, Engine& engine, std::string gateway);
-  Front(const Front&) = delete;
-  Front& operator=(const Front&) = delete;
+  Frontend(boost::asio::io_context& io, const Settings& settings, Engine& engine, std::string gateway);
+  Frontend(const Frontend&) = delete;
+  Frontend& operator=(const Frontend&) = delete;
 
   boost::asio::ip::tcp::endpoint listening() const { return server_.listening(); }
   void onReply(std::uint64_t ticket, Reply reply) override;
@@ -76,12 +76,12 @@
 
   void received(ConnectionId id, std::string_view text, std::chrono::steady_clock::time_point began);
   void take(ConnectionId id, const GroupPtr& group, std::size_t place, const Entry& entry,
-            ochrehill::Duration left);
+            policy::Duration left);
   bool firstOfItsId(const Peer& peer, Group& group, const Entry& entry) const;
   void openSession(ConnectionId id, const GroupPtr& group, std::size_t place, const Entry& entry);
-  ochrehill::Duration timeFor(std::size_t i, const Entry& entry) const;
+  policy::Duration timeFor(std::size_t i, const Entry& entry) const;
   void start(ConnectionId id, const GroupPtr& group, std::size_t place, const Entry& entry,
-             const MethodSettings& method, ochrehill::Duration left);
+             const MethodSettings& method, policy::Duration left);
   void join(ConnectionId id, const GroupPtr& group, std::size_t place, const Entry& entry,
             std::uint64_t ticket);
 
@@ -94,7 +94,7 @@
   void bad(ConnectionId id, const char* why);
   void gone(ConnectionId id);
   void drop(ConnectionId id, Peer& peer);
-  ochrehill::Time now() const;
+  policy::Timestamp now() const;
   void expire();
 
   const Settings& settings_;
@@ -109,8 +109,8 @@
   std::uint64_t lastTicket_ = 0;
   boost::asio::steady_timer expirer_;
   std::chrono::steady_clock::time_point start_ = std::chrono::steady_clock::now();
-  Server server_;      // after the others: it may hand over texts from here on
-  Lifetime lifetime_;  // of what the event loop is still to call
+  Server server_;           // after the others: it may hand over texts from here on
+  CallbackGuard lifetime_;  // of what the event loop is still to call
 };
 
 }  // namespace cairnjunction::jsonrpc
--- a/src/jsonrpc/reply.cpp
+++ b/src/jsonrpc/reply.cpp
@@ -14,15 +14,15 @@
 }
 
 Result resultOf(Reply reply, bool safe, Parser& parser) {
-  if (reply.verdict == Verdict::refused) {
+  if (reply.status == ReplyStatus::rejected) {
     std::string data = "{\"retry\":\"harmless\"";
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(reply.retryAfter).count();
-    if (reply.retryAfter > ochrehill::Duration{})
+    if (reply.retryAfter > policy::Duration{})
       data += ",\"retry_after_ms\":" + std::to_string(std::max<std::int64_t>(ms, 1));
     return {true, errorText(kRefused, "Refused: it was not run, or does no harm again", data + "}")};
   }
   const char* const data = safe ? "{\"retry\":\"harmless\"}" : "{\"retry\":\"unknown\"}";
-  if (reply.verdict == Verdict::failed) return {true, errorText(kFailed, "Failed: it may have run", data)};
+  if (reply.status == ReplyStatus::failed) return {true, errorText(kFailed, "Failed: it may have run", data)};
   Message& answer = reply.message;
   if (answer.format == Format::json) return {answer.declined, std::move(answer.body)};
   if (answer.body.empty()) return {false, "null"};
--- a/src/jsonrpc/server.cpp
+++ b/src/jsonrpc/server.cpp
@@ -326,7 +326,7 @@
   bool taken_ = false;  // a text since the place was last told
 };
 
-Server::Server(asio::io_context& io, const tcp::endpoint& listen, const FrontLimits& limits,
+Server::Server(asio::io_context& io, const tcp::endpoint& listen, const FrontendLimits& limits,
                std::chrono::milliseconds userTimeout, Callbacks callbacks)
     : io_(io),
       acceptor_(io, listen, true),
--- a/src/jsonrpc/server.hpp
+++ b/src/jsonrpc/server.hpp
@@ -17,9 +17,9 @@
 #include <unordered_map>
 #include <vector>
 
+#include "common/callback_guard.hpp"
 #include "jsonrpc/frame.hpp"
 #include "jsonrpc/settings.hpp"
-#include "lifetime.hpp"
 
 namespace cairnjunction::jsonrpc {
 
@@ -37,8 +37,8 @@
   };
 
   // Listens at once. Throws boost::system::system_error.
-  Server(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, const FrontLimits& limits,
-         std::chrono::milliseconds userTimeout, Callbacks callbacks);
+  Server(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen,
+         const FrontendLimits& limits, std::chrono::milliseconds userTimeout, Callbacks callbacks);
   ~Server();
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
@@ -76,7 +76,7 @@
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  FrontLimits limits_;
+  FrontendLimits limits_;
   std::chrono::milliseconds userTimeout_;
   Callbacks callbacks_;
   boost::asio::steady_timer sweeper_, again_;
@@ -87,7 +87,7 @@
   std::size_t bytes_ = 0;
   ConnectionId last_ = 0;
   bool flushing_ = false, stopping_ = false;
-  Lifetime lifetime_;  // of what the event loop is still to call
+  CallbackGuard lifetime_;  // of what the event loop is still to call
 };
 
 }  // namespace cairnjunction::jsonrpc
--- a/src/jsonrpc/session_table.hpp
+++ b/src/jsonrpc/session_table.hpp
@@ -15,7 +15,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "ochrehill/ochrehill.hpp"
+#include "cairnjunction/load_balancer.hpp"
 
 namespace cairnjunction::jsonrpc {
 
@@ -27,7 +27,7 @@
 
 class SessionTable {
  public:
-  using Time = ochrehill::Time;
+  using Time = policy::Timestamp;
   using Id = std::uint64_t;  // of a session; never used again
 
   struct Limits {
@@ -35,7 +35,7 @@
     std::size_t entries = 65536;      // over all sessions
     std::size_t entriesOfOne = 8192;  // one client can't take the place of all others
     std::size_t bytes = 8 << 20;      // of ids and answers, with kEntryCost for each entry
-    ochrehill::Duration ttl = std::chrono::seconds(60);
+    policy::Duration ttl = std::chrono::seconds(60);
   };
   static constexpr std::size_t kEntryCost = 160;  // bytes, of the containers
 
--- a/src/jsonrpc/settings.cpp
+++ b/src/jsonrpc/settings.cpp
@@ -9,7 +9,7 @@
 #include <map>
 #include <nlohmann/json.hpp>
 
-#include "discovery/host_list.hpp"
+#include "discovery/endpoint_list.hpp"
 
 namespace cairnjunction::jsonrpc {
 namespace {
@@ -130,7 +130,7 @@
         }},
        {"limits",
         [&](const json& v) {
-          FrontLimits& l = s.limits;
+          FrontendLimits& l = s.limits;
           readObject(v, "limits",
                      {{"connections", [&](const json& n) { l.connections = size(n, 1, 1e6); }},
                       {"frame_bytes", [&](const json& n) { l.frameBytes = size(n, 1024, huge / 64); }},
@@ -203,7 +203,7 @@
   return parseSettings(parsed);
 }
 
-void resolve(Settings& settings, ochrehill::Settings& module) {
+void resolve(Settings& settings, policy::Settings& module) {
   if (settings.workers.jsonRpc) module.streamsPerConnection = settings.workers.streams;
   const std::size_t given = module.classes.size();
   for (MethodSettings& method : settings.methods) {
@@ -212,16 +212,16 @@
     if (at == given)
       throw BadSettings("jsonrpc.methods: '" + method.name + "' names the class '" + method.className +
                         "', which the settings do not have");
-    method.effect = module.classes[at].effect;
-    if (method.effect == ochrehill::Effect::dedup && method.keyAt.empty())
+    method.effect = module.classes[at].idempotency;
+    if (method.effect == policy::Idempotency::keyed && method.keyAt.empty())
       throw BadSettings("jsonrpc.methods: '" + method.name + "' is of the keyed class '" + method.className +
                         "' and has no key");
     if (method.target.empty()) method.target = "/" + method.className;
-    if (method.deadline <= ochrehill::Duration{}) method.deadline = module.classes[at].giveUp;
-    if (method.worth && *method.worth != module.classes[at].worth) {
-      ochrehill::ClassSettings own = module.classes[at];
+    if (method.deadline <= policy::Duration{}) method.deadline = module.classes[at].clientTimeout;
+    if (method.worth && *method.worth != module.classes[at].priorityWeight) {
+      policy::ClassSettings own = module.classes[at];
       own.name = method.className + "/" + method.name;
-      own.worth = *method.worth;
+      own.priorityWeight = *method.worth;
       at = module.classes.size();
       module.classes.push_back(own);
     }
--- a/src/jsonrpc/settings.hpp
+++ b/src/jsonrpc/settings.hpp
@@ -11,9 +11,9 @@
 #include <string>
 #include <vector>
 
+#include "cairnjunction/load_balancer.hpp"
 #include "jsonrpc/frame.hpp"
 #include "jsonrpc/session_table.hpp"
-#include "ochrehill/ochrehill.hpp"
 
 namespace cairnjunction::jsonrpc {
 
@@ -23,17 +23,17 @@
 
 struct MethodSettings {
   std::string name, className;
-  std::optional<double> worth;     // else the class's
-  ochrehill::Duration deadline{};  // the longest that a client waits; 0: the class's
-  std::string deadlineAt;          // JSON pointer in params: milliseconds that the client waits; empty: none
-  std::string keyAt;               // the key by which workers drop repeats
-  std::string objectAt;            // what the call is about, for classes that go in turn
-  std::string target;              // of a worker that speaks HTTP; empty: "/" and the class's name
-  std::uint32_t classIndex = 0;    // set by resolve()
-  ochrehill::Effect effect = ochrehill::Effect::fragile;
+  std::optional<double> worth;   // else the class's
+  policy::Duration deadline{};   // the longest that a client waits; 0: the class's
+  std::string deadlineAt;        // JSON pointer in params: milliseconds that the client waits; empty: none
+  std::string keyAt;             // the key by which workers drop repeats
+  std::string objectAt;          // what the call is about, for classes that go in turn
+  std::string target;            // of a worker that speaks HTTP; empty: "/" and the class's name
+  std::uint32_t classIndex = 0;  // set by resolve()
+  policy::Idempotency effect = policy::Idempotency::unsafe;
 };
 
-struct FrontLimits {
+struct FrontendLimits {
   std::size_t connections = 640;
   std::size_t frameBytes = 512 << 10;  // one text
   std::size_t paramsBytes = 64 << 10;  // of one call, as of a body in HTTP
@@ -58,7 +58,7 @@
 struct Settings {
   std::optional<boost::asio::ip::tcp::endpoint> listen;  // none: no front
   std::vector<MethodSettings> methods;
-  FrontLimits limits;
+  FrontendLimits limits;
   SessionTable::Limits sessions;
   UpstreamSettings workers;
 };
@@ -69,6 +69,6 @@
 
 // Gives each method its class in the module's settings; a method with a worth of its own has a class of its
 // own, which is its class but for the worth. Throws BadSettings if there is no such class.
-void resolve(Settings& settings, ochrehill::Settings& module);
+void resolve(Settings& settings, policy::Settings& module);
 
 }  // namespace cairnjunction::jsonrpc
--- a/src/jsonrpc/upstream.cpp
+++ b/src/jsonrpc/upstream.cpp
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "jsonrpc/socket.hpp"
-#include "upstream/dial.hpp"
+#include "upstream/connect_failure.hpp"
 
 namespace cairnjunction::jsonrpc {
 namespace {
@@ -18,11 +18,11 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using boost::system::error_code;
-using ochrehill::Carrier;
-using ochrehill::Duration;
-using ochrehill::Fault;
-using ochrehill::HostId;
-using ochrehill::Outcome;
+using policy::ConnectionUse;
+using policy::Duration;
+using policy::EndpointId;
+using policy::FailureReason;
+using policy::Outcome;
 using Clock = std::chrono::steady_clock;
 
 constexpr std::size_t kChunk = 64 << 10;       // read at a time
@@ -54,9 +54,9 @@
 std::string textOf(std::uint64_t id, const Call& call, Duration limit, Parser& parser) {
   const Message& m = call.message;
   // Danger: names and keys of HTTP clients may hold any bytes, and what is no UTF-8 is no JSON.
-  if (!utf8(call.name) || !utf8(call.key)) return {};
+  if (!utf8(call.externalId) || !utf8(call.idempotencyKey)) return {};
   std::string text;
-  text.reserve(160 + m.body.size() + call.name.size() + call.key.size());
+  text.reserve(160 + m.body.size() + call.externalId.size() + call.idempotencyKey.size());
   text.append("{\"jsonrpc\":\"2.0\",\"id\":").append(std::to_string(id)).append(",\"method\":");
   text.append(quoted(m.operation));
   const std::size_t before = text.size();
@@ -65,8 +65,8 @@
   if (!paramsOf(m, parser, text)) return {};
   if (text.size() == start) text.resize(before);
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(limit).count();
-  text.append(",\"call\":{\"name\":").append(quoted(call.name));
-  if (!call.key.empty()) text.append(",\"key\":").append(quoted(call.key));
+  text.append(",\"call\":{\"name\":").append(quoted(call.externalId));
+  if (!call.idempotencyKey.empty()) text.append(",\"key\":").append(quoted(call.idempotencyKey));
   text.append(",\"deadline_ms\":").append(std::to_string(std::max<std::int64_t>(ms, 1))).append("}}");
   return text;
 }
@@ -76,9 +76,10 @@
   if (!answer.failed) return Outcome::served;
   const std::int64_t code = answer.code;
   if (code < kReservedFirst || code > kReservedLast) return Outcome::served;  // the application's own
-  if (code >= kServerFirst && code <= kServerLast) return answer.notRun ? Outcome::full : Outcome::error;
+  if (code >= kServerFirst && code <= kServerLast)
+    return answer.notRun ? Outcome::overloaded : Outcome::error;
   if (code == kParseError || code == kInvalidRequest || code == kMethodNotFound || code == kInvalidParams)
-    return Outcome::rejected;
+    return Outcome::invalidRequest;
   return Outcome::error;
 }
 
@@ -86,7 +87,7 @@
 
 class Upstream::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(Upstream& owner, HostId h)
+  Connection(Upstream& owner, EndpointId h)
       : host(h),
         owner_(&owner),
         socket_(owner.io_),
@@ -96,7 +97,7 @@
     owner_->count(host, 1, 0);
   }
 
-  const HostId host;
+  const EndpointId host;
 
   std::size_t calls() const { return calls_.size(); }
   bool usable() const { return !closed_ && !leaving_; }
@@ -127,11 +128,11 @@
     arm();
     socket_.async_connect(endpoint, [self = shared_from_this()](error_code connectError) {
       if (self->closed_) return;
-      if (connectError) return self->close(Outcome::connectFailed, faultOfDial(connectError));
+      if (connectError) return self->close(Outcome::connectFailed, connectFailureReason(connectError));
       self->connected_ = true;
       self->owner_->count(self->host, 0, 1);
       // Danger: the list drained or dropped the host meanwhile, and what is written now would be new to it.
-      if (self->leaving_) return self->close(Outcome::connectFailed, Fault::withdrawn);
+      if (self->leaving_) return self->close(Outcome::connectFailed, FailureReason::cancelledBeforeSend);
       error_code ignored;
       self->socket_.set_option(tcp::no_delay(true), ignored);
       self->flush();
@@ -139,12 +140,12 @@
     });
   }
 
-  void add(AttemptKey key, const Call& call, const AttemptLimits& limits) {
+  void add(AttemptKey key, const Call& call, const AttemptTimeouts& limits) {
     const std::uint64_t id = ++lastId_;
-    const std::string text = textOf(id, call, limits.answer, owner_->parser_);
+    const std::string text = textOf(id, call, limits.response, owner_->parser_);
     if (text.empty()) {  // it can't be said in JSON, to no host
       asio::post(owner_->io_, owner_->lifetime_.guard([owner = owner_, key, h = host] {
-        owner->ended_({key, h, Outcome::rejected, {}, {}, Fault::unknown, Carrier::none});
+        owner->ended_({key, h, Outcome::invalidRequest, {}, {}, FailureReason::unknown, ConnectionUse::none});
       }));
       return;
     }
@@ -156,8 +157,8 @@
     pending.key = key;
     pending.fresh = id == 1;
     pending.sentAt = now;
-    pending.limit = pending.answerBy = now + std::max(limits.answer, Duration::zero());
-    if (limits.written < limits.answer) pending.limit = now + limits.written;
+    pending.limit = pending.answerBy = now + std::max(limits.response, Duration::zero());
+    if (limits.write < limits.response) pending.limit = now + limits.write;
     pending.end = base_ + out_.size();
     unwritten_.push_back(pending.end);
     ids_[key] = id;
@@ -177,8 +178,8 @@
     if (pending.givenUp) return;
     // Nothing was written: closing proves that it never ran, and alone it disturbs nobody.
     if (!connected_)
-      return calls_.size() == 1 ? close(Outcome::connectFailed, Fault::outOfTime)
-                                : takeOut(id, pending, Fault::outOfTime);
+      return calls_.size() == 1 ? close(Outcome::connectFailed, FailureReason::attemptTimeout)
+                                : takeOut(id, pending, FailureReason::attemptTimeout);
     pending.givenUp = true;
     pending.outcome = outcome;
     if (calls_.size() == 1) return close(outcome);
@@ -194,7 +195,7 @@
 
   // Taken back if its last byte is not written: out of what waits to be, or with the connection if it is
   // alone there. Danger: half a text can't be taken out of what others stand behind; then it goes on.
-  void withdraw(AttemptKey key, Fault fault) {
+  void withdraw(AttemptKey key, FailureReason fault) {
     const auto known = ids_.find(key);
     if (known == ids_.end()) return;
     const std::uint64_t id = known->second;
@@ -212,13 +213,13 @@
     asio::post(owner_->io_, [self = shared_from_this()] {
       std::vector<AttemptKey> all;
       for (const auto& [id, pending] : self->calls_) all.push_back(pending.key);
-      for (const AttemptKey key : all) self->withdraw(key, Fault::withdrawn);
+      for (const AttemptKey key : all) self->withdraw(key, FailureReason::cancelledBeforeSend);
       if (!self->closed_ && self->calls_.empty()) self->close(Outcome::reset);
     });
   }
 
   // Ends all calls on it: by `outcome` those that may have run.
-  void close(Outcome outcome, Fault fault = Fault::unknown) {
+  void close(Outcome outcome, FailureReason fault = FailureReason::unknown) {
     if (closed_) return;
     closed_ = true;
     const auto self = shared_from_this();
@@ -234,11 +235,11 @@
     for (auto& [id, pending] : calls) {
       // Danger: only what was not written to its last byte provably never ran.
       Outcome mine = pending.givenUp ? pending.outcome : outcome;
-      Fault why = fault;
+      FailureReason why = fault;
       if (!connected_ || pending.end > written) {
         // What a call that was given up did not write is its own doing.
-        if (connected_ && fault == Fault::unknown)
-          why = pending.givenUp ? Fault::outOfTime : Fault::lostInWrite;
+        if (connected_ && fault == FailureReason::unknown)
+          why = pending.givenUp ? FailureReason::attemptTimeout : FailureReason::brokenWhileWriting;
         mine = Outcome::connectFailed;
       }
       finish(pending, mine, why, {});
@@ -289,20 +290,23 @@
     bool operator>(const Due& o) const { return at > o.at; }
   };
 
-  void finish(const Pending& pending, Outcome outcome, Fault fault, Message answer) {
+  void finish(const Pending& pending, Outcome outcome, FailureReason fault, Message answer) {
     owner_->busy_.erase(pending.key);
-    const Carrier carrier = !connected_ ? Carrier::none : pending.fresh ? Carrier::fresh : Carrier::reused;
+    const ConnectionUse carrier = !connected_     ? ConnectionUse::none
+                                  : pending.fresh ? ConnectionUse::opened
+                                                  : ConnectionUse::reused;
     owner_->ended_({pending.key, host, outcome, Clock::now() - pending.sentAt, std::move(answer), fault,
                     carrier, usable()});
   }
 
   void failSoon() {
-    asio::post(owner_->io_,
-               [self = shared_from_this()] { self->close(Outcome::connectFailed, Fault::noDescriptor); });
+    asio::post(owner_->io_, [self = shared_from_this()] {
+      self->close(Outcome::connectFailed, FailureReason::noDescriptor);
+    });
   }
 
   // Out of what is not written yet: all that follows moves.
-  void takeOut(std::uint64_t id, const Pending& pending, Fault fault) {
+  void takeOut(std::uint64_t id, const Pending& pending, FailureReason fault) {
     const Pending gone = pending;
     const std::uint64_t begin = gone.begin;
     const std::uint64_t size = gone.end - begin;
@@ -338,7 +342,8 @@
       const FrameReader::State state = reader_.next(rest, text);
       rest.remove_prefix(reader_.taken());
       if (state == FrameReader::State::more) break;
-      if (state != FrameReader::State::frame || !take(text)) return close(Outcome::reset, Fault::spoilt);
+      if (state != FrameReader::State::frame || !take(text))
+        return close(Outcome::reset, FailureReason::malformedResponse);
     }
     if (closed_) return;
     in_.erase(0, in_.size() - rest.size());
@@ -363,7 +368,7 @@
     if (pending.end > base_ + sent_) return false;
     Outcome outcome = outcomeOf(answer);
     // A result that crossed the cancel is as good as any; an error is the host's word that it was given up.
-    if (pending.givenUp && answer.failed && outcome != Outcome::full) outcome = pending.outcome;
+    if (pending.givenUp && answer.failed && outcome != Outcome::overloaded) outcome = pending.outcome;
     Message message;
     if (outcome == Outcome::served) {
       message.format = Format::json;
@@ -372,7 +377,7 @@
     }
     calls_.erase(known);
     ids_.erase(pending.key);
-    finish(pending, outcome, Fault::unknown, std::move(message));
+    finish(pending, outcome, FailureReason::unknown, std::move(message));
     return true;
   }
 
@@ -408,7 +413,7 @@
 
   void overdue() {
     const auto now = Clock::now();
-    if (!connected_ && now >= connectBy_) return close(Outcome::connectFailed, Fault::dialSilent);
+    if (!connected_ && now >= connectBy_) return close(Outcome::connectFailed, FailureReason::connectTimeout);
     while (!closed_ && !due_.empty() && due_.top().at <= now) {
       const Due due = due_.top();
       due_.pop();
@@ -432,7 +437,7 @@
     dueAt(pending.limit, id);
     if (connected_ && pending.end <= base_ + sent_) return;
     const AttemptKey key = pending.key;
-    withdraw(key, Fault::outOfTime);
+    withdraw(key, FailureReason::attemptTimeout);
     if (ids_.contains(key)) close(Outcome::reset);
   }
 
@@ -467,14 +472,14 @@
 void Upstream::stop() {
   if (std::exchange(stopped_, true)) return;
   sweeper_.cancel();
-  ended_ = [](AttemptEnd) {};
+  ended_ = [](AttemptOutcome) {};
   onConnections(nullptr);
   for (auto& [id, host] : hosts_)
     for (const auto& connection : std::vector<ConnectionPtr>(host.connections))
       connection->close(Outcome::reset);
 }
 
-bool Upstream::list(HostId id, const tcp::endpoint& endpoint, bool serving) {
+bool Upstream::updateEndpoint(EndpointId id, const tcp::endpoint& endpoint, bool serving) {
   Host& host = hosts_[id];
   countFrom(id);
   const bool first = host.endpoint.port() == 0;
@@ -486,24 +491,24 @@
   return moved && !first;
 }
 
-void Upstream::unlistAll() {
+void Upstream::removeAllEndpoints() {
   for (auto& [id, host] : hosts_) host.serving = false;
 }
 
-void Upstream::forget(HostId id) {
+void Upstream::forget(EndpointId id) {
   closeIdle(id);
   hosts_.erase(id);
   countNoMore(id);
 }
 
-void Upstream::start(AttemptKey key, HostId id, const Call& call, const AttemptLimits& limits) {
+void Upstream::start(AttemptKey key, EndpointId id, const Call& call, const AttemptTimeouts& limits) {
   const auto known = hosts_.find(id);
-  if (known == hosts_.end()) return ended_(unreached(key, id, Fault::withdrawn));
+  if (known == hosts_.end()) return ended_(unreached(key, id, FailureReason::cancelledBeforeSend));
   Host& host = known->second;
   ConnectionPtr connection = choose(host);
   if (!connection) {
     if (open_ >= limits_.connections && !closeIdleOne())
-      return ended_(unreached(key, id, Fault::noDescriptor));
+      return ended_(unreached(key, id, FailureReason::noDescriptor));
     connection = std::make_shared<Connection>(*this, id);
     host.connections.push_back(connection);
     connection->connect(host.endpoint);
@@ -536,14 +541,14 @@
   connection->giveUp(key, Outcome::cancelled);
 }
 
-void Upstream::withdraw(AttemptKey key) {
+void Upstream::cancelIfUnsent(AttemptKey key) {
   const auto it = busy_.find(key);
   if (it == busy_.end()) return;
   const ConnectionPtr connection = it->second;
-  connection->withdraw(key, Fault::withdrawn);
+  connection->withdraw(key, FailureReason::cancelledBeforeSend);
 }
 
-void Upstream::closeIdle(HostId id) {
+void Upstream::closeIdle(EndpointId id) {
   const auto known = hosts_.find(id);
   if (known == hosts_.end()) return;
   for (const auto& connection : std::vector<ConnectionPtr>(known->second.connections))
--- a/src/jsonrpc/upstream.hpp
+++ b/src/jsonrpc/upstream.hpp
@@ -17,21 +17,21 @@
 #include <unordered_map>
 #include <vector>
 
+#include "cairnjunction/load_balancer.hpp"
+#include "common/callback_guard.hpp"
 #include "jsonrpc/frame.hpp"
 #include "jsonrpc/parser.hpp"
-#include "lifetime.hpp"
-#include "ochrehill/ochrehill.hpp"
-#include "upstream/host_upstream.hpp"
+#include "upstream/endpoint_upstream.hpp"
 
 namespace cairnjunction::jsonrpc {
 
-class Upstream final : public HostUpstream {
+class Upstream final : public EndpointUpstream {
  public:
   struct Limits {
-    std::size_t connections = 256;         // over all hosts
-    ochrehill::Duration connectTimeout{};  // for a new one
-    ochrehill::Duration idleClose{};       // the host closes idle ones after this at the latest; 0 = never
-    std::uint32_t streams = 32;            // calls on one connection
+    std::size_t connections = 256;      // over all hosts
+    policy::Duration connectTimeout{};  // for a new one
+    policy::Duration idleClose{};       // the host closes idle ones after this at the latest; 0 = never
+    std::uint32_t streams = 32;         // calls on one connection
     Form form = Form::lines;
     std::size_t answerBytes = 64 << 10;  // of one answer; what is larger is taken for spoilt
     std::size_t unsentBytes = 1 << 20;   // of one connection: a host that reads nothing is sent no more
@@ -39,28 +39,30 @@
     // pause of the host takes the other calls of the connection along.
     std::chrono::milliseconds cancelWait{100};
   };
-  using Ended = std::function<void(AttemptEnd)>;
+  using Ended = std::function<void(AttemptOutcome)>;
 
   Upstream(boost::asio::io_context& io, const Limits& limits, Ended ended);
   ~Upstream() override;
   Upstream(const Upstream&) = delete;
   Upstream& operator=(const Upstream&) = delete;
 
-  void setLimits(std::size_t connections, ochrehill::Duration connectTimeout, ochrehill::Duration idleClose) {
+  void setLimits(std::size_t connections, policy::Duration connectTimeout, policy::Duration idleClose) {
     limits_.connections = connections;
     limits_.connectTimeout = connectTimeout;
     limits_.idleClose = idleClose;
   }
-  void start(AttemptKey key, ochrehill::HostId host, const Call& call, const AttemptLimits& limits) override;
+  void start(AttemptKey key, policy::EndpointId host, const Call& call,
+             const AttemptTimeouts& limits) override;
   void cancel(AttemptKey key) override;
-  void withdraw(AttemptKey key) override;
-  void closeIdle(ochrehill::HostId host) override;
-  void forget(ochrehill::HostId host) override;
-  bool list(ochrehill::HostId host, const boost::asio::ip::tcp::endpoint& endpoint, bool serving) override;
-  void unlistAll() override;
+  void cancelIfUnsent(AttemptKey key) override;
+  void closeIdle(policy::EndpointId host) override;
+  void forget(policy::EndpointId host) override;
+  bool updateEndpoint(policy::EndpointId host, const boost::asio::ip::tcp::endpoint& endpoint,
+                      bool serving) override;
+  void removeAllEndpoints() override;
   void stop() override;
-  std::size_t connections() const override { return open_; }
-  std::size_t hosts() const override { return hosts_.size(); }
+  std::size_t connectionCount() const override { return open_; }
+  std::size_t endpointCount() const override { return hosts_.size(); }
 
  private:
   class Connection;
@@ -81,14 +83,14 @@
   Limits limits_;
   Ended ended_;
   Parser parser_;
-  std::unordered_map<ochrehill::HostId, Host> hosts_;
+  std::unordered_map<policy::EndpointId, Host> hosts_;
   std::unordered_map<AttemptKey, ConnectionPtr, AttemptKeyHash> busy_;
   std::vector<ConnectionPtr> unflushed_;
   std::vector<char> scratch_;
   std::size_t open_ = 0;
   bool flushing_ = false, stopped_ = false;
   boost::asio::steady_timer sweeper_;
-  Lifetime lifetime_;  // of what the event loop is still to call
+  CallbackGuard lifetime_;  // of what the event loop is still to call
 };
 
 }  // namespace cairnjunction::jsonrpc
--- a/src/duty/codec.cpp
+++ b/src/lease/codec.cpp
@@ -3,9 +3,9 @@
 #include <msgpack.hpp>
 #include <stdexcept>
 
-#include "duty/registry.hpp"
+#include "lease/lease_table.hpp"
 
-namespace cairnjunction::duty {
+namespace cairnjunction::lease {
 namespace {
 
 constexpr int kFormat = 1;  // of both; a keeper of another one says so and does not guess
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-std::string encode(const Command& command) {
+std::string encode(const LogEntry& command) {
   Member member;
   std::string zone;
   Time lease{};
@@ -63,71 +63,73 @@
       [&](const auto& c) {
         using T = std::decay_t<decltype(c)>;
         member = c.member;
-        if constexpr (std::is_same_v<T, Joined>) zone = c.zone;
-        if constexpr (std::is_same_v<T, Granted> || std::is_same_v<T, Renewed>) lease = c.lease;
-        if constexpr (std::is_same_v<T, Granted>) keys.emplace_back(c.key.duty, c.key.shard, 0, 0);
-        if constexpr (std::is_same_v<T, Released>) {
+        if constexpr (std::is_same_v<T, MemberJoined>) zone = c.zone;
+        if constexpr (std::is_same_v<T, LeaseGranted> || std::is_same_v<T, LeasesRenewed>)
+          lease = c.leaseDuration;
+        if constexpr (std::is_same_v<T, LeaseGranted>) keys.emplace_back(c.key.task, c.key.shard, 0, 0);
+        if constexpr (std::is_same_v<T, LeaseReleased>) {
           failed = c.failed;
-          keys.emplace_back(c.key.duty, c.key.shard, c.epoch, 0);
+          keys.emplace_back(c.key.task, c.key.shard, c.epoch, 0);
         }
-        if constexpr (std::is_same_v<T, Renewed>)
-          for (const Renewed::Held& h : c.held)
-            keys.emplace_back(h.key.duty, h.key.shard, h.epoch, h.sequence);
+        if constexpr (std::is_same_v<T, LeasesRenewed>)
+          for (const LeasesRenewed::Held& h : c.held)
+            keys.emplace_back(h.key.task, h.key.shard, h.epoch, h.sequence);
       },
       command.change);
   return packed(CommandRow(kFormat, command.now.count(), static_cast<std::uint8_t>(command.change.index()),
                            member.name, member.incarnation, zone, lease.count(), failed, keys));
 }
 
-Command decode(std::string_view bytes) {
+LogEntry decode(std::string_view bytes) {
   constexpr const char* kWhat = "command";
   const auto [format, now, kind, name, incarnation, zone, lease, failed, keys] =
       unpacked<CommandRow>(bytes, kWhat);
   requireFormat(format, kWhat);
   const Member member{name, incarnation};
-  std::vector<Renewed::Held> held;
+  std::vector<LeasesRenewed::Held> held;
   for (const auto& [duty, shard, epoch, sequence] : keys) held.push_back({{duty, shard}, epoch, sequence});
   if ((kind == 1 || kind == 3) && held.size() != 1)
     throw std::invalid_argument("command: kind " + std::to_string(kind) + " names no key");
-  Command command{Time(now), {}};
+  LogEntry command{Time(now), {}};
   switch (kind) {
-    case 0: command.change = Joined{member, zone}; break;
-    case 1: command.change = Granted{held[0].key, member, Time(lease)}; break;
-    case 2: command.change = Renewed{member, held, Time(lease)}; break;
-    case 3: command.change = Released{held[0].key, held[0].epoch, member, failed}; break;
-    case 4: command.change = Left{member}; break;
+    case 0: command.change = MemberJoined{member, zone}; break;
+    case 1: command.change = LeaseGranted{held[0].key, member, Time(lease)}; break;
+    case 2: command.change = LeasesRenewed{member, held, Time(lease)}; break;
+    case 3: command.change = LeaseReleased{held[0].key, held[0].epoch, member, failed}; break;
+    case 4: command.change = MemberLeft{member}; break;
     default: throw std::invalid_argument("command: unknown kind " + std::to_string(kind));
   }
   return command;
 }
 
-std::string Registry::snapshot() const {
+std::string LeaseTable::snapshot() const {
   std::vector<Row> rows;
   for (const auto& [key, h] : holdings_)
-    rows.emplace_back(key.duty, key.shard, h.epoch, h.owner.name, h.owner.incarnation, h.since.count(),
-                      h.until.count(), static_cast<std::uint8_t>(h.why), h.sequence);
+    rows.emplace_back(key.task, key.shard, h.epoch, h.holder.name, h.holder.incarnation, h.grantedAt.count(),
+                      h.expiresAt.count(), static_cast<std::uint8_t>(h.reason), h.sequence);
   std::vector<RecordRow> records;
   for (const auto& [who, r] : records_)
-    records.emplace_back(who.first, who.second, r.failures, r.passedOverUntil.count());
+    records.emplace_back(who.first, who.second, r.consecutiveFailures, r.backoffUntil.count());
   return packed(Snapshot(kFormat, now_.count(), rows, members_, records));
 }
 
-void Registry::restore(std::string_view bytes) {
+void LeaseTable::restore(std::string_view bytes) {
   const auto [format, now, rows, members, records] = unpacked<Snapshot>(bytes, "snapshot");
   requireFormat(format, "snapshot");
   if (rows.size() > kKeysMost || members.size() > kMembersMost || records.size() > kRecordsMost)
     throw std::invalid_argument("snapshot: more than there is room for");
-  Registry next;
+  LeaseTable next;
   next.now_ = Time(now);
   next.members_ = members;
   for (const auto& [duty, shard, epoch, owner, incarnation, since, until, why, sequence] : rows) {
-    if (why > static_cast<std::uint8_t>(Why::left)) throw std::invalid_argument("snapshot: unknown reason");
-    next.holdings_[{duty, shard}] = {epoch,       {owner, incarnation},  Time(since),
-                                     Time(until), static_cast<Why>(why), sequence};
+    if (why > static_cast<std::uint8_t>(LeaseChangeReason::left))
+      throw std::invalid_argument("snapshot: unknown reason");
+    next.holdings_[{duty, shard}] = {
+        epoch, {owner, incarnation}, Time(since), Time(until), static_cast<LeaseChangeReason>(why), sequence};
   }
   for (const auto& [member, duty, failures, until] : records)
     next.records_[{member, duty}] = {failures, Time(until)};
   *this = std::move(next);
 }
 
-}  // namespace cairnjunction::duty
+}  // namespace cairnjunction::lease
--- a/src/duty/tenure.hpp
+++ b/src/lease/held_lease.hpp
@@ -8,11 +8,11 @@
 #include <cstdint>
 #include <optional>
 
-#include "duty/duty.hpp"
+#include "lease/lease.hpp"
 
-namespace cairnjunction::duty {
+namespace cairnjunction::lease {
 
-class Tenure {
+class HeldLease {
  public:
   // The keepers answered what was asked at `askedAt` (the member's clock, read before the question was
   // written). An answer of an older epoch, or to an older question, changes nothing.
@@ -31,16 +31,16 @@
   // Given back, taken away, or found to be somebody else's. Only another epoch begins it anew.
   void end() { over_ = true; }
 
-  bool mayAct(Time now) const { return epoch_ > 0 && !over_ && now < until_; }
+  bool isValid(Time now) const { return epoch_ > 0 && !over_ && now < until_; }
   bool held() const { return epoch_ > 0 && !over_; }  // as far as it knows; mayAct says whether it counts
   Time until() const { return until_; }
   Epoch epoch() const { return epoch_; }
   Sequence sequence() const { return sequence_; }  // of the last order
 
   // The name of the next order, or none if it may not act any more.
-  std::optional<OrderId> order(const Key& key, const Member& self, Time now) {
-    if (!mayAct(now)) return std::nullopt;
-    return OrderId{key, epoch_, ++sequence_, self};
+  std::optional<FencingToken> nextToken(const LeaseKey& key, const Member& self, Time now) {
+    if (!isValid(now)) return std::nullopt;
+    return FencingToken{key, epoch_, ++sequence_, self};
   }
 
  private:
@@ -50,4 +50,4 @@
   bool over_ = false;
 };
 
-}  // namespace cairnjunction::duty
+}  // namespace cairnjunction::lease
--- a/src/duty/duty.hpp
+++ b/src/lease/lease.hpp
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <string>
 
-namespace cairnjunction::duty {
+namespace cairnjunction::lease {
 
 // On the log: since the log began, as the keepers' leaders count it (see docs/design/fleet.md). At a member:
 // since its machine booted, sleep included. The two are never compared.
@@ -20,10 +20,10 @@
 // that are moved by some 0.1%. An owner takes so much off its lease, for its own clock and the keepers'.
 inline constexpr int kDriftPart = 100;
 
-struct Key {  // what has one owner at a time
-  std::string duty;
+struct LeaseKey {  // what has one owner at a time
+  std::string task;
   std::uint32_t shard = 0;
-  auto operator<=>(const Key&) const = default;
+  auto operator<=>(const LeaseKey&) const = default;
 };
 
 struct Member {
@@ -33,12 +33,12 @@
 };
 
 // The fencing token that each order carries.
-struct OrderId {
-  Key key;
+struct FencingToken {
+  LeaseKey key;
   Epoch epoch = 0;
   Sequence sequence = 0;
-  Member from;
-  auto operator<=>(const OrderId&) const = default;
+  Member holder;
+  auto operator<=>(const FencingToken&) const = default;
 };
 
-}  // namespace cairnjunction::duty
+}  // namespace cairnjunction::lease
--- a/src/duty/picker.cpp
+++ b/src/lease/lease_assigner.cpp
@@ -1,13 +1,13 @@
 // Who is to be granted what is free.
-#include "duty/picker.hpp"
+#include "lease/lease_assigner.hpp"
 
 #include <algorithm>
 #include <map>
 #include <tuple>
 
-#include "duty/hash.hpp"
+#include "lease/stable_hash.hpp"
 
-namespace cairnjunction::duty {
+namespace cairnjunction::lease {
 namespace {
 
 // A new leader goes on as the last one did.
@@ -18,44 +18,45 @@
 
 }  // namespace
 
-std::vector<Granted> pick(const Registry& registry, const std::vector<Spec>& specs,
-                          const std::vector<Candidate>& candidates, Time now) {
-  std::vector<Granted> grants;
+std::vector<LeaseGranted> assignLeases(const LeaseTable& registry, const std::vector<TaskSpec>& specs,
+                                       const std::vector<Candidate>& candidates, Time now) {
+  std::vector<LeaseGranted> grants;
   if (candidates.empty()) return grants;
   std::map<Member, std::size_t> load;
   std::map<std::string, std::vector<Member>> owners;  // by duty
   for (const Candidate& c : candidates) load[c.member] = 0;
   for (const auto& [key, holding] : registry.holdings()) {
     if (!holding.heldAt(now)) continue;
-    owners[key.duty].push_back(holding.owner);
-    if (const auto it = load.find(holding.owner); it != load.end()) ++it->second;
+    owners[key.task].push_back(holding.holder);
+    if (const auto it = load.find(holding.holder); it != load.end()) ++it->second;
   }
   const auto owns = [&](const Member& member, const std::string& duty) {
     const auto it = owners.find(duty);
     return it != owners.end() && std::count(it->second.begin(), it->second.end(), member) > 0;
   };
-  for (const Spec& spec : specs) {
+  for (const TaskSpec& spec : specs) {
     for (std::uint32_t shard = 0; shard < spec.shards; ++shard) {
-      const Key key{spec.duty, shard};
-      const Holding* holding = registry.find(key);
+      const LeaseKey key{spec.task, shard};
+      const LeaseRecord* holding = registry.find(key);
       if (holding && holding->heldAt(now)) continue;
       const Epoch next = (holding ? holding->epoch : 0) + 1;
       // Whoever is not passed over goes before whoever is; then the heir; then who holds least; a draw that
       // changes with the epoch settles the rest.
       const auto rank = [&](const Candidate& c) {
-        const Time over = registry.recordOf(c.member.name, spec.duty).passedOverUntil;
-        return std::make_tuple(std::max(over, now), !spec.apartFrom.empty() && owns(c.member, spec.apartFrom),
-                               spec.heirs.empty() || !owns(c.member, spec.heirs), load[c.member],
-                               mix(c.member.name, next * 1000003 + shard));
+        const Time over = registry.recordOf(c.member.name, spec.task).backoffUntil;
+        return std::make_tuple(std::max(over, now),
+                               !spec.antiAffinity.empty() && owns(c.member, spec.antiAffinity),
+                               spec.preferredSuccessor.empty() || !owns(c.member, spec.preferredSuccessor),
+                               load[c.member], mix(c.member.name, next * 1000003 + shard));
       };
       const auto best = std::min_element(candidates.begin(), candidates.end(),
                                          [&](const auto& a, const auto& b) { return rank(a) < rank(b); });
-      grants.push_back({key, best->member, spec.lease});
+      grants.push_back({key, best->member, spec.leaseDuration});
       ++load[best->member];
-      owners[spec.duty].push_back(best->member);
+      owners[spec.task].push_back(best->member);
     }
   }
   return grants;
 }
 
-}  // namespace cairnjunction::duty
+}  // namespace cairnjunction::lease
--- a/src/duty/picker.hpp
+++ b/src/lease/lease_assigner.hpp
@@ -6,18 +6,18 @@
 #include <string>
 #include <vector>
 
-#include "duty/registry.hpp"
+#include "lease/lease_table.hpp"
 
-namespace cairnjunction::duty {
+namespace cairnjunction::lease {
 
-struct Spec {  // a duty of the fleet
-  std::string duty;
+struct TaskSpec {  // a duty of the fleet
+  std::string task;
   std::uint32_t shards = 1;
-  Time lease{3000};
+  Time leaseDuration{3000};
   // Of the one duty whose owner this one goes to, if that owner can be had: a warm standby.
-  std::string heirs;
+  std::string preferredSuccessor;
   // No member owns both, while there are others.
-  std::string apartFrom;
+  std::string antiAffinity;
 };
 
 struct Candidate {  // a member that is connected and willing
@@ -26,7 +26,7 @@
 
 // The grants that are due at `now`, at most one for each key. A member that was passed over gets one only
 // where no other candidate is left.
-std::vector<Granted> pick(const Registry& registry, const std::vector<Spec>& specs,
-                          const std::vector<Candidate>& candidates, Time now);
+std::vector<LeaseGranted> assignLeases(const LeaseTable& registry, const std::vector<TaskSpec>& specs,
+                                       const std::vector<Candidate>& candidates, Time now);
 
-}  // namespace cairnjunction::duty
+}  // namespace cairnjunction::lease
--- a/src/duty/registry.hpp
+++ b/src/lease/lease_table.hpp
@@ -17,9 +17,9 @@
 #include <variant>
 #include <vector>
 
-#include "duty/duty.hpp"
+#include "lease/lease.hpp"
 
-namespace cairnjunction::duty {
+namespace cairnjunction::lease {
 
 // Bounds on what members can make the log hold: some kB for each, in every snapshot.
 inline constexpr std::size_t kKeysMost = 1024;  // duties times shards; a fleet has some tens
@@ -30,95 +30,95 @@
 inline constexpr Time kLeaseLeast{200}, kLeaseMost{60'000};
 
 // Why a key changed hands, or has no owner.
-enum class Why : std::uint8_t {
+enum class LeaseChangeReason : std::uint8_t {
   vacant,    // nobody had it
   expired,   // its owner was not heard of until its lease ended
   released,  // its owner gave it back: it stops, or was asked to
   failed,    // its owner gave it back since it can't do it
   left       // its owner left the fleet
 };
-std::string_view nameOf(Why why);
+std::string_view nameOf(LeaseChangeReason why);
 
-struct Holding {
+struct LeaseRecord {
   Epoch epoch = 0;
-  Member owner;           // no name: nobody
-  Time since{};           // of this epoch,
-  Time until{};           // and end of the lease, by the log's time
-  Why why = Why::vacant;  // this owner has it; without one, why not
+  Member holder;                                         // no name: nobody
+  Time grantedAt{};                                      // of this epoch,
+  Time expiresAt{};                                      // and end of the lease, by the log's time
+  LeaseChangeReason reason = LeaseChangeReason::vacant;  // this owner has it; without one, why not
   Sequence sequence = 0;  // of the last order that the owner told when it renewed; orders before it are old
-  bool operator==(const Holding&) const = default;
-  bool heldAt(Time now) const { return !owner.name.empty() && now < until; }
+  bool operator==(const LeaseRecord&) const = default;
+  bool heldAt(Time now) const { return !holder.name.empty() && now < expiresAt; }
 };
 
 // What a member did with a duty, so that one which fails again and again is passed over.
-struct Record {
-  std::uint32_t failures = 0;  // on end
-  Time passedOverUntil{};
-  bool operator==(const Record&) const = default;
+struct FailureHistory {
+  std::uint32_t consecutiveFailures = 0;  // on end
+  Time backoffUntil{};
+  bool operator==(const FailureHistory&) const = default;
 };
 
-struct Joined {  // a process came under this name; the last one that did has it
+struct MemberJoined {  // a process came under this name; the last one that did has it
   Member member;
   std::string zone;
 };
-struct Granted {
-  Key key;
+struct LeaseGranted {
+  LeaseKey key;
   Member member;
-  Time lease{};
+  Time leaseDuration{};
 };
-struct Renewed {
+struct LeasesRenewed {
   struct Held {
-    Key key;
+    LeaseKey key;
     Epoch epoch = 0;
     Sequence sequence = 0;
   };
   Member member;
   std::vector<Held> held;
-  Time lease{};
+  Time leaseDuration{};
 };
-struct Released {
-  Key key;
+struct LeaseReleased {
+  LeaseKey key;
   Epoch epoch = 0;
   Member member;
   bool failed = false;
 };
-struct Left {
+struct MemberLeft {
   Member member;
 };
-using Change = std::variant<Joined, Granted, Renewed, Released, Left>;
+using Change = std::variant<MemberJoined, LeaseGranted, LeasesRenewed, LeaseReleased, MemberLeft>;
 
-struct Command {
+struct LogEntry {
   Time now{};  // the leader's count of the log's time; one that is before the log's is taken as the log's
   Change change;
 };
 
-enum class Refusal : std::uint8_t {
+enum class RejectionReason : std::uint8_t {
   none,
-  held,        // by another one whose lease has not ended
-  notOwner,    // the epoch is over, or somebody else's
-  supplanted,  // another process has joined under this name
-  full,        // a bound above
-  nonsense     // an empty or overlong name, a lease out of range
+  heldByAnother,  // by another one whose lease has not ended
+  notHolder,      // the epoch is over, or somebody else's
+  supplanted,     // another process has joined under this name
+  full,           // a bound above
+  invalid         // an empty or overlong name, a lease out of range
 };
-std::string_view nameOf(Refusal refusal);
+std::string_view nameOf(RejectionReason refusal);
 
-struct Outcome {
-  Refusal refusal = Refusal::none;
-  std::vector<Renewed::Held> held;  // granted or renewed, with the epoch in force; sequence as known
+struct ApplyResult {
+  RejectionReason rejection = RejectionReason::none;
+  std::vector<LeasesRenewed::Held> held;  // granted or renewed, with the epoch in force; sequence as known
 };
 
-class Registry {
+class LeaseTable {
  public:
-  Outcome apply(const Command& command);
+  ApplyResult apply(const LogEntry& command);
 
   Time now() const { return now_; }  // of the last command
-  const Holding* find(const Key& key) const;
-  const std::map<Key, Holding>& holdings() const { return holdings_; }
-  Record recordOf(const std::string& member, const std::string& duty) const;
+  const LeaseRecord* find(const LeaseKey& key) const;
+  const std::map<LeaseKey, LeaseRecord>& holdings() const { return holdings_; }
+  FailureHistory recordOf(const std::string& member, const std::string& duty) const;
   // The process that joined last under this name; 0: none.
   Incarnation incarnationOf(const std::string& member) const;
   std::size_t held(const Member& member, Time now) const;  // keys that it owns
-  bool operator==(const Registry&) const = default;
+  bool operator==(const LeaseTable&) const = default;
 
   // All of it, and back. restore throws std::invalid_argument on what snapshot didn't write, and then the
   // registry is as it was.
@@ -126,23 +126,23 @@
   void restore(std::string_view bytes);
 
  private:
-  Outcome on(const Joined& joined);
-  Outcome on(const Granted& granted);
-  Outcome on(const Renewed& renewed);
-  Outcome on(const Released& released);
-  Outcome on(const Left& left);
-  void end(const Key& key, Holding& holding, Why why);
+  ApplyResult on(const MemberJoined& joined);
+  ApplyResult on(const LeaseGranted& granted);
+  ApplyResult on(const LeasesRenewed& renewed);
+  ApplyResult on(const LeaseReleased& released);
+  ApplyResult on(const MemberLeft& left);
+  void end(const LeaseKey& key, LeaseRecord& holding, LeaseChangeReason why);
   void note(const std::string& member, const std::string& duty, bool failure);
   bool makeRoom();
 
   Time now_{};
-  std::map<Key, Holding> holdings_;
+  std::map<LeaseKey, LeaseRecord> holdings_;
   std::map<std::string, Incarnation> members_;
-  std::map<std::pair<std::string, std::string>, Record> records_;  // by member and duty
+  std::map<std::pair<std::string, std::string>, FailureHistory> records_;  // by member and duty
 };
 
 // On the log. decode throws std::invalid_argument.
-std::string encode(const Command& command);
-Command decode(std::string_view bytes);
+std::string encode(const LogEntry& command);
+LogEntry decode(std::string_view bytes);
 
-}  // namespace cairnjunction::duty
+}  // namespace cairnjunction::lease
--- a/src/duty/hash.hpp
+++ b/src/lease/stable_hash.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string_view>
 
-namespace cairnjunction::duty {
+namespace cairnjunction::lease {
 
 inline std::uint64_t stableHash(std::string_view text, std::uint64_t salt = 0) {
   std::uint64_t h = 1469598103934665603ull ^ salt;
@@ -13,4 +13,4 @@
   return h;
 }
 
-}  // namespace cairnjunction::duty
+}  // namespace cairnjunction::lease
--- a/src/policy/cold_start.cpp
+++ b/src/policy/cold_start.cpp
@@ -3,7 +3,7 @@
 
 #include "policy/module.hpp"
 
-namespace ochrehill {
+namespace cairnjunction::policy {
 namespace {
 
 constexpr double kProvenDecay = 0.997;  // per sweep: proven rates of a machine kind fade over half a minute
@@ -13,7 +13,8 @@
 
 double Module::warmth(const Host& h) const {
   if (!isCold(h)) return 1;
-  return set.coldShare + (1 - set.coldShare) * toSeconds(now - startOf(h)) / toSeconds(set.coldTime);
+  return set.slowStartInitialFraction +
+         (1 - set.slowStartInitialFraction) * toSeconds(now - startOf(h)) / toSeconds(set.slowStartDuration);
 }
 
 // Danger: all gateways together push a cold host over. Each keeps to its own part: the cold share of what
@@ -21,12 +22,12 @@
 // of a request; a floor of one, times hundreds of gateways, would be a flood.
 bool Module::coldMayTake(Host& h) {
   if (!isCold(h)) return true;
-  const double window = std::max(toSeconds(set.fallWindow), 0.1);
+  const double window = std::max(toSeconds(set.collapseWindow), 0.1);
   // No warm one of its kind seen, e.g. after our own restart: an even share of what we get.
   const double even = askedRate / static_cast<double>(std::max<std::size_t>(width, 1));
   const double proven = kinds[h.kind].proven > 0 ? kinds[h.kind].proven : even;
   const double part = kColdPart * (2 + evidence()) / 3;  // less where it is spent first (see the pick)
-  const double rate = proven * warmth(h) * part * set.fallMultiple;
+  const double rate = proven * warmth(h) * part * set.collapseLoadFactor;
   h.coldTokens = std::min(h.coldTokens + rate * toSeconds(now - h.coldAt), std::max(1.0, rate * window / 4));
   h.coldAt = now;
   return h.coldTokens >= 1;
@@ -50,4 +51,4 @@
   }
 }
 
-}  // namespace ochrehill
+}  // namespace cairnjunction::policy
--- a/src/policy/connections.cpp
+++ b/src/policy/connections.cpp
@@ -2,7 +2,7 @@
 // time.
 #include "policy/module.hpp"
 
-namespace ochrehill {
+namespace cairnjunction::policy {
 namespace {
 
 constexpr Duration kIdleClose = seconds(5);  // beyond its own hosts a gateway gives connections back
@@ -16,7 +16,7 @@
 }  // namespace
 
 bool Module::free(const Host& h) const {  // an open connection has room
-  const bool closed = set.idleClose > Duration{} && h.inflight == 0 && now - h.used >= set.idleClose;
+  const bool closed = set.idleTimeout > Duration{} && h.inflight == 0 && now - h.used >= set.idleTimeout;
   return !closed && static_cast<std::uint32_t>(h.inflight) <
                         static_cast<std::uint32_t>(h.lines) * set.streamsPerConnection;
 }
@@ -34,7 +34,7 @@
 
 void Module::noteIdle(std::size_t step, Outcome o) {  // a longer wait is no safer, a shorter one no worse
   const bool gone = o == Outcome::timeout || o == Outcome::reset;
-  if (!gone && o != Outcome::served && o != Outcome::error && o != Outcome::full) return;
+  if (!gone && o != Outcome::served && o != Outcome::error && o != Outcome::overloaded) return;
   for (std::size_t i = gone ? step : 0; i < (gone && step > 0 ? kIdleSteps : step + 1); ++i)
     idleLost[i] += kLostGain * ((gone ? 1 : 0) - idleLost[i]);
 }
@@ -45,9 +45,9 @@
     Host& h = hosts[order[i]];
     if (h.lines == 0 || h.inflight > 0 || now - h.used < kIdleClose) continue;
     if (!h.exact) h.lines = 0;
-    emit(ActionKind::close, 0, 0, order[i]);
+    emit(ActionKind::closeIdle, 0, 0, order[i]);
   }
   for (double& l : idleLost) l *= 1 - kLostFade;
 }
 
-}  // namespace ochrehill
+}  // namespace cairnjunction::policy
--- a/src/policy/cutoff.cpp
+++ b/src/policy/cutoff.cpp
@@ -5,7 +5,7 @@
 
 #include "policy/module.hpp"
 
-namespace ochrehill {
+namespace cairnjunction::policy {
 namespace {
 
 // In-flight overload. By Little's law the mean time in flight is in-flight / rate, so the pool carries
@@ -39,15 +39,15 @@
   const double count = static_cast<double>(std::max<std::size_t>(reachable, 1));
   const double ease = 1 - std::min(kFullEase * fullSeen / outcomeSeen, kFullEaseMost);
   // Before anything was measured (own start in an overload) and after a lull, per-host guesses stand in.
-  const double first = kFirstPerHost / set.groupSize, floor = kFloorPerHost / set.groupSize;
+  const double first = kFirstPerHost / set.gatewayCount, floor = kFloorPerHost / set.gatewayCount;
   const double least = now - started < 10 * kSweep ? first : std::max(floor, calmHeld);
-  const double most = set.inflightMost > 0 ? set.inflightMost : HUGE_VAL;  // as clients' connections run out
+  const double most = set.maxInFlight > 0 ? set.maxInFlight : HUGE_VAL;  // as clients' connections run out
   return std::min(ease * std::max(fastRate * meanAim * kMaxOfAim, least * count), most);
 }
 
 double Module::heldNow() const {
   double held = 0;
-  for (HostId id : listed)
+  for (EndpointId id : listed)
     if (counts(hosts[id])) held += hosts[id].inflight;  // one bad host must not lift the pool's cut
   return held;
 }
@@ -75,7 +75,7 @@
   fullSeen *= 1 - kFastGain;
   outcomeSeen += kFastGain * (kErrorPrior - outcomeSeen);
   double outcomes = kErrorPrior, errors = 0, sum = 0, seen = 0;
-  for (HostId id : listed)
+  for (EndpointId id : listed)
     if (counts(hosts[id])) outcomes += hosts[id].outcomes, errors += hosts[id].errors;
   errorOverload = (errors / outcomes - kErrorThreshold) / (kErrorMax - kErrorThreshold);
   for (const ClassState& c : classes)
@@ -92,4 +92,4 @@
   }
 }
 
-}  // namespace ochrehill
+}  // namespace cairnjunction::policy
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -4,7 +4,7 @@
 
 #include "policy/module.hpp"
 
-namespace ochrehill {
+namespace cairnjunction::policy {
 namespace {
 
 constexpr double kPaceFade = 0.05;  // per sweep without requests: an old pace fades in two seconds at least
@@ -35,10 +35,12 @@
 // Such an attempt never ran and proves no pressure, so neither the host's record nor the error rate takes it
 // in.
 bool Module::blameless(Host& h, const AttemptResult& a) {
-  if (a.outcome != Outcome::connectFailed || a.fault == Fault::unknown || a.fault == Fault::dialSilent)
+  if (a.outcome != Outcome::connectFailed || a.failureReason == FailureReason::unknown ||
+      a.failureReason == FailureReason::connectTimeout)
     return false;
-  if (a.fault == Fault::refused) restDials(h);  // where others are open; else the host is closed to us
-  if (a.fault == Fault::noDescriptor) dialAfter = now + kOwnRest;
+  if (a.failureReason == FailureReason::connectionRefused)
+    restDials(h);  // where others are open; else the host is closed to us
+  if (a.failureReason == FailureReason::noDescriptor) dialAfter = now + kOwnRest;
   return true;
 }
 
@@ -51,7 +53,7 @@
 void Module::judge(Host& h, const Open& r, const AttemptResult& a) {
   if (blameless(h, a)) return;
   ClassState& c = classes[r.cls];
-  const double taken = std::max(toSeconds(a.taken), 1e-6);  // zero would make every ratio meaningless
+  const double taken = std::max(toSeconds(a.elapsed), 1e-6);  // zero would make every ratio meaningless
   bool failed = false;
   switch (a.outcome) {
     case Outcome::served: {
@@ -68,11 +70,11 @@
       // the pool slow and starve, while others take its share. By its usual time an answer weighs as its
       // work.
       const double weight = meanWork > 0 ? std::clamp(c.norm * r.cost / meanWork, 0.1, 10.0) : 1;
-      inTime += weight * (now <= r.aimAt ? 1 : c.set.lateShare);
+      inTime += weight * (now <= r.aimAt ? 1 : c.set.lateValueFraction);
       break;
     }
-    case Outcome::full:  // Danger: a host that stays full, or drains unannounced, holds little and looks
-                         // idle.
+    case Outcome::overloaded:  // Danger: a host that stays full, or drains unannounced, holds little and
+                               // looks idle.
       h.heard = now;
       h.errors += 1;
       if (h.fulls < kFullRow) fullSeen += trust(h, r.cls);  // beyond that only this host is in trouble
@@ -92,23 +94,23 @@
       failed = true;
       if (!h.exact) h.lines = std::max(h.lines - 1, 0);
       break;
-    case Outcome::rejected: h.heard = now; return;  // the request's fault, anywhere
+    case Outcome::invalidRequest: h.heard = now; return;  // the request's fault, anywhere
     case Outcome::cancelled:
-    case Outcome::moot: return;
+    case Outcome::notSent: return;
   }
   h.outcomes += 1;
   outcomeSeen += 1;
   // Danger: spoilt answers come from any host alike, and are no sign of pressure. Only a host that gives more
   // of them than its peers is to be left, and that is what ejection compares.
-  const bool spoilt = a.fault == Fault::spoilt;
+  const bool spoilt = a.failureReason == FailureReason::malformedResponse;
   if (failed && !spoilt) h.errors += 1;
-  if (a.outcome != Outcome::full) h.fails += kFailGain * ((failed ? 1.0 : 0.0) - h.fails);
+  if (a.outcome != Outcome::overloaded) h.fails += kFailGain * ((failed ? 1.0 : 0.0) - h.fails);
   if (a.outcome != Outcome::connectFailed && !spoilt) {
-    const double lost = failed || a.outcome == Outcome::full ? 1 : 0;
+    const double lost = failed || a.outcome == Outcome::overloaded ? 1 : 0;
     h.classFails[r.cls] += kClassGain * (lost - h.classFails[r.cls]);
     c.fails += kClassPeers * (lost - c.fails);
   }
-  if (h.health == Health::trial && a.outcome != Outcome::full) {
+  if (h.health == Health::trial && a.outcome != Outcome::overloaded) {
     if (failed) eject(h, "trial failed");
     else {
       h.health = Health::good;
@@ -136,15 +138,15 @@
 void Module::sweepHosts() {
   std::vector<double> paces, fails, crowds;
   std::size_t away = 0;
-  for (HostId id : listed) {
+  for (EndpointId id : listed) {
     Host& h = hosts[id];
     // Danger: a pace learned in trouble keeps requests away, and without them it would never change.
     if (h.served <= 0 && h.inflight == 0) h.pace += kPaceFade * evidence() * (kinds[h.kind].pace - h.pace);
     h.outcomes *= 1 - fastGain();
     h.errors *= 1 - fastGain();
     if (h.health == Health::ejected && now >= h.until)
-      h.health = Health::trial;    // back by a trickle of real requests
-    if (h.reach == Reach::open) {  // the others are no peers to be judged by
+      h.health = Health::trial;                // back by a trickle of real requests
+    if (h.reach == Reachability::reachable) {  // the others are no peers to be judged by
       if (h.health != Health::good) ++away;
       paces.push_back(h.pace);
       fails.push_back(h.fails);
@@ -159,9 +161,9 @@
   medianPace = quantile(paces, 0.5, 1);
   medianCrowd = quantile(crowds, 0.5, 1);
   peerFails = quantile(fails, 0.25, 0);  // a quarter of the peers well: the others are outliers
-  for (HostId id : listed) {  // judged against the peers, so that a pool-wide trouble ejects nobody
+  for (EndpointId id : listed) {  // judged against the peers, so that a pool-wide trouble ejects nobody
     Host& h = hosts[id];
-    if (h.health != Health::good || h.reach != Reach::open ||
+    if (h.health != Health::good || h.reach != Reachability::reachable ||
         static_cast<double>(away + 1) > kEjectShare * static_cast<double>(reachable))
       continue;
     const bool failing = h.fails > std::max(kFailEject, kFailPeers * peerFails);
@@ -174,7 +176,7 @@
   }
 }
 
-const Try* Module::outTry(std::pair<std::uint32_t, std::uint32_t> ref, HostId host) const {
+const Try* Module::outTry(std::pair<std::uint32_t, std::uint32_t> ref, EndpointId host) const {
   const Open& r = slots[ref.first];
   if (!r.live || r.generation != ref.second) return nullptr;
   for (std::uint32_t i = 0; i < r.count; ++i)
@@ -182,4 +184,4 @@
   return nullptr;
 }
 
-}  // namespace ochrehill
+}  // namespace cairnjunction::policy
--- a/src/policy/module.hpp
+++ b/src/policy/module.hpp
@@ -11,10 +11,10 @@
 #include <utility>
 #include <vector>
 
-#include "ochrehill/ochrehill.hpp"
+#include "cairnjunction/load_balancer.hpp"
 #include "policy/state.hpp"
 
-namespace ochrehill {
+namespace cairnjunction::policy {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -34,26 +34,26 @@
   std::mt19937_64 engine;
   std::vector<Action> out;
   std::vector<Host> hosts;
-  std::unordered_map<std::string, HostId> hostIds;
-  std::vector<HostId> freeHosts;
-  std::vector<HostId> listed;  // phase `in`, in order of address: the same order at every start
-  std::vector<HostId> order;   // the same hosts, this gateway's own first
-  std::size_t width = 0;       // so many of them are in use while one of them is idle
-  std::size_t reachable = 0;   // of the listed
+  std::unordered_map<std::string, EndpointId> hostIds;
+  std::vector<EndpointId> freeHosts;
+  std::vector<EndpointId> listed;  // phase `in`, in order of address: the same order at every start
+  std::vector<EndpointId> order;   // the same hosts, this gateway's own first
+  std::size_t width = 0;           // so many of them are in use while one of them is idle
+  std::size_t reachable = 0;       // of the listed
   std::vector<ClassState> classes;
   std::vector<Kind> kinds;
   std::vector<double> quotaTokens;
-  Time quotaAt{};
+  Timestamp quotaAt{};
   std::vector<Open> slots;
   std::vector<std::uint32_t> freeSlots;
   std::unordered_map<RequestId, std::uint32_t> slotOf;
   std::vector<Level> levels;
   Guards guards;
-  std::vector<HostId> ready;
+  std::vector<EndpointId> ready;
   std::unordered_map<std::uint64_t, Turn> turns;
   std::vector<std::uint64_t> turnsDue;  // keys whose turn may have passed on in this event
 
-  Time now{}, started{}, nextSweep{}, armed{};
+  Timestamp now{}, started{}, nextSweep{}, armed{};
   double smoothHeld = 0, cut = 0, errorOverload = 0;
   double inTime = 0, fastRate = 0;                        // answers within the aim: since the sweep; a second
   double asked = 0, askedRate = kSteadyRate, sweeps = 0;  // requests: since the sweep; a second
@@ -65,20 +65,20 @@
   double retryTokens = kRetrySaved;
   std::array<double, kIdleSteps> idleLost{};  // share of attempts lost, by idle time of the connection
   bool asking = false, answered = false;
-  Time askedAt{}, askAgain{};
-  Time dialAfter{};  // no descriptor was left to us: no new connection is opened before
+  Timestamp askedAt{}, askAgain{};
+  Timestamp dialAfter{};  // no descriptor was left to us: no new connection is opened before
   int askFailures = 0;
-  Time logged{};
+  Timestamp logged{};
   int loggedCut = 0;
 
-  Module(Settings s, Time t);
-  void configure(Settings next);  // src/reconfigure.cpp
+  Module(Settings s, Timestamp t);
+  void configure(Settings next);  // src/policy/reconfigure.cpp
 
   // --- timers
   void onWake();
   void arm();
   template <class Handler>
-  void event(Time at, Handler handler) {
+  void event(Timestamp at, Handler handler) {
     now = at;
     handler();
     passTurns();
@@ -90,7 +90,7 @@
   std::size_t drawBelow(std::size_t n) {
     return static_cast<std::size_t>(drawUnit() * static_cast<double>(n));
   }
-  void emit(ActionKind kind, RequestId id = 0, std::uint32_t attempt = 0, HostId host = kNone,
+  void emit(ActionKind kind, RequestId id = 0, std::uint32_t attempt = 0, EndpointId host = kNone,
             Duration span = {}) {
     out.push_back({kind, id, attempt, host, span, {}});
   }
@@ -98,7 +98,7 @@
     out.push_back({ActionKind::log, 0, 0, kNone, {}, std::move(text)});
     logged = now;
   }
-  bool mayLog() const { return now - logged >= kLogEvery || logged == Time{}; }
+  bool mayLog() const { return now - logged >= kLogEvery || logged == Timestamp{}; }
 
   // --- score
   double worthOf(const Open& r, std::uint32_t tenant);
@@ -123,13 +123,17 @@
   void crowded(Host& h, double crowd);
   void eject(Host& h, const char* why);
   void sweepHosts();
-  const Try* outTry(std::pair<std::uint32_t, std::uint32_t> ref, HostId host) const;
+  const Try* outTry(std::pair<std::uint32_t, std::uint32_t> ref, EndpointId host) const;
   static bool sick(const Host& h) { return h.health != Health::good || h.silent; }
-  static bool counts(const Host& h) { return !sick(h) && h.reach == Reach::open; }  // for the pool's load
+  static bool counts(const Host& h) {
+    return !sick(h) && h.reach == Reachability::reachable;
+  }  // for the pool's load
 
   // --- cold_start
-  static Time startOf(const Host& h) { return std::max(h.entry.upSince, h.startedAfter); }
-  bool isCold(const Host& h) const { return startOf(h) > Time{} && now - startOf(h) < set.coldTime; }
+  static Timestamp startOf(const Host& h) { return std::max(h.entry.startedAt, h.startedAfter); }
+  bool isCold(const Host& h) const {
+    return startOf(h) > Timestamp{} && now - startOf(h) < set.slowStartDuration;
+  }
   double warmth(const Host& h) const;
   bool coldMayTake(Host& h);
   void sweepKinds();
@@ -144,20 +148,20 @@
 
   // --- pick
   double trust(const Host& h, std::uint32_t cls) const;
-  bool holdsItsMost(const Host& h) const { return h.inflight >= h.entry.attemptsMost; }
+  bool holdsItsMost(const Host& h) const { return h.inflight >= h.entry.maxInFlight; }
   double load(const Host& h) const { return (h.inflight + 1) * h.pace; }
   bool idle(const Host& h) const {  // holds few of ours; a fast host may hold more
     return h.inflight < few * medianPace / std::max(h.pace, 0.05);
   }
   bool allowed(const Open& r, const Host& h) const;
   void gather(const Open& r, bool relaxed);
-  HostId pick(const Open& r);
+  EndpointId pick(const Open& r);
 
   // --- attempts
   void onRequest(const Request& q);
   void dispatch(Open& r);
   bool send(Open& r);
-  Time lastUse(const Open& r) const;
+  Timestamp lastUse(const Open& r) const;
   void onResult(const AttemptResult& a);
   void onAnswerStarted(RequestId id, std::uint32_t attempt);
   void onClientGone(RequestId id);
@@ -166,14 +170,14 @@
   void end(Open& r);
   void cancelOut(Open& r, std::uint32_t except = kNone);
   void release(Open& r);
-  void forgetGone(HostId id);
+  void forgetGone(EndpointId id);
   Open* find(RequestId id) {
     const auto it = slotOf.find(id);
     return it == slotOf.end() ? nullptr : &slots[it->second];
   }
 
   // --- turns
-  bool inTurn(const Open& r) const { return r.hasKey && classes[r.cls].set.inTurn; }
+  bool inTurn(const Open& r) const { return r.hasKey && classes[r.cls].set.serializedByKey; }
   Duration usualTime(const Open& r) const { return scaled(seconds(1), classes[r.cls].norm * r.cost); }
   void passTurns();
   bool hopeless(const Open& r, std::size_t ahead) const;
@@ -181,13 +185,13 @@
   void sweepTurns();
 
   // --- hosts
-  void onHosts(ListKind kind, const std::vector<HostEntry>& entries);
+  void onHosts(EndpointListKind kind, const std::vector<EndpointInfo>& entries);
   void reorder();
   void ask();
   void countReachable();
-  void onReach(HostId id, Reach reach, Time startedAfter);
+  void onReach(EndpointId id, Reachability reach, Timestamp startedAfter);
   void renew(Host& h);
-  void onConnections(HostId id, std::uint32_t open);
+  void onConnections(EndpointId id, std::uint32_t open);
 };
 
-}  // namespace ochrehill
+}  // namespace cairnjunction::policy
--- a/src/policy/pick.cpp
+++ b/src/policy/pick.cpp
@@ -3,7 +3,7 @@
 
 #include "policy/module.hpp"
 
-namespace ochrehill {
+namespace cairnjunction::policy {
 namespace {
 
 // Danger: with more requests than hosts each holds several, a fixed limit of one counts none as idle, and two
@@ -29,12 +29,12 @@
   const ClassSettings& c = classes[r.cls].set;
   if (!h.open[r.cls]) return false;
   for (std::uint32_t i = 0; i < r.count; ++i) {
-    if (!r.tries[i].mayHaveRun || c.effect == Effect::retryable) continue;
-    if (c.effect == Effect::fragile) return false;
-    const HostEntry& first = hosts[r.tries[i].host].entry;
-    if (c.group != Group::all && first.zone != h.entry.zone) return false;
-    if (c.group == Group::cell && first.cell != h.entry.cell) return false;
-    if (now + 2 * set.step > r.tries[i].at + c.window) return false;
+    if (!r.tries[i].mayHaveRun || c.idempotency == Idempotency::safe) continue;
+    if (c.idempotency == Idempotency::unsafe) return false;
+    const EndpointInfo& first = hosts[r.tries[i].host].entry;
+    if (c.dedupScope != DedupScope::all && first.zone != h.entry.zone) return false;
+    if (c.dedupScope == DedupScope::cell && first.cell != h.entry.cell) return false;
+    if (now + 2 * set.eventInterval > r.tries[i].at + c.dedupWindow) return false;
   }
   return true;
 }
@@ -42,11 +42,12 @@
 void Module::gather(const Open& r, bool relaxed) {
   ready.clear();
   bool found = false;  // an idle one
-  for (HostId id : order) {
+  for (EndpointId id : order) {
     if (found && ready.size() >= width) break;
     Host& h = hosts[id];
-    if (h.reach == Reach::closed || (now < dialAfter && !free(h))) continue;  // known to come to nothing
-    if (h.reach == Reach::probe && r.count > 0) continue;                     // a second try is no probe
+    if (h.reach == Reachability::unreachable || (now < dialAfter && !free(h)))
+      continue;                                                       // known to come to nothing
+    if (h.reach == Reachability::probeOnly && r.count > 0) continue;  // a second try is no probe
     if (!relaxed) {
       if (now < h.restUntil || !mayDial(h) || h.silent || h.health == Health::ejected ||
           (h.health == Health::trial && h.inflight > 0))
@@ -61,21 +62,21 @@
   }
 }
 
-HostId Module::pick(const Open& r) {
+EndpointId Module::pick(const Open& r) {
   few = std::max(kFewOfMean * heldNow() / static_cast<double>(std::max<std::size_t>(reachable, 1)), 1.0);
   gather(r, false);
   if (ready.empty()) gather(r, true);  // no healthy host: any that the rules allow beats none
   if (ready.empty()) return kNone;
   // Danger: among a hundred hosts a thin gateway draws the cold one it could send to once in half a minute;
   // it would stay cold. Its budget is small and is spent first.
-  for (HostId id : ready)
+  for (EndpointId id : ready)
     if (r.count == 0 && isCold(hosts[id]) && idle(hosts[id]) && drawUnit() > evidence()) return id;
-  if (set.warmKeys && r.hasKey) {
+  if (set.keyAffinity && r.hasKey) {
     // Warm keys: the first hosts in the key's rendezvous order, the same at all gateways.
     const std::size_t most = std::min(kWarmCandidates, ready.size());
     std::partial_sort(
         ready.begin(), ready.begin() + static_cast<std::ptrdiff_t>(most), ready.end(),
-        [&](HostId a, HostId b) { return mix(hosts[a].hash ^ r.key) > mix(hosts[b].hash ^ r.key); });
+        [&](EndpointId a, EndpointId b) { return mix(hosts[a].hash ^ r.key) > mix(hosts[b].hash ^ r.key); });
     ready.resize(most);
     for (std::size_t i = 0; i < most; ++i) {
       const Host& h = hosts[ready[i]];
@@ -85,8 +86,8 @@
   // Danger: beside many gateways our own in-flight says little, every host looks idle, and the own zone is
   // overrun; so the draw leans towards hosts that answer fast, and towards the own zone only lightly.
   double sum = 0;
-  HostId chosen = kNone;
-  for (HostId id : ready) {
+  EndpointId chosen = kNone;
+  for (EndpointId id : ready) {
     const Host& h = hosts[id];
     if (!idle(h)) continue;
     const double weight =
@@ -95,8 +96,8 @@
     if (drawUnit() * sum < weight) chosen = id;
   }
   if (chosen != kNone) return chosen;
-  const HostId a = ready[drawBelow(ready.size())], b = ready[drawBelow(ready.size())];
+  const EndpointId a = ready[drawBelow(ready.size())], b = ready[drawBelow(ready.size())];
   return load(hosts[a]) * trust(hosts[b], r.cls) <= load(hosts[b]) * trust(hosts[a], r.cls) ? a : b;
 }
 
-}  // namespace ochrehill
+}  // namespace cairnjunction::policy
--- a/src/reconfigure.cpp
+++ b/src/policy/reconfigure.cpp
@@ -3,7 +3,7 @@
 
 #include "policy/module.hpp"
 
-namespace ochrehill {
+namespace cairnjunction::policy {
 
 // Each class at its index; an index whose class changed is one that no open request has. What was learned of
 // a class goes with its name.
@@ -14,11 +14,11 @@
   // Where and as whom it works was settled at its start, and so was what the connections carry.
   next.seed = set.seed;
   next.zone = set.zone;
-  next.number = set.number;
-  next.groupSize = set.groupSize;
-  next.askDiscovery = set.askDiscovery;
+  next.gatewayIndex = set.gatewayIndex;
+  next.gatewayCount = set.gatewayCount;
+  next.pollDiscovery = set.pollDiscovery;
   next.streamsPerConnection = set.streamsPerConnection;
-  next.step = set.step;
+  next.eventInterval = set.eventInterval;
   std::vector<std::size_t> from(unknown + 1, before.size());  // by index: whose knowledge it takes
   for (std::uint32_t i = 0; i < unknown; ++i) {
     if (i < unknownBefore && set.classes[i].name == next.classes[i].name) from[i] = i;
@@ -45,10 +45,11 @@
     h.classFails = std::move(fails);
     h.open.clear();
     for (const ClassState& c : classes)
-      h.open.push_back(names(c.set.zones, h.entry.zone) && names(c.set.kinds, h.entry.kind));
+      h.open.push_back(names(c.set.allowedZones, h.entry.zone) &&
+                       names(c.set.allowedMachineKinds, h.entry.machineKind));
   }
   quotaTokens.resize(next.tenants.size(), 0);
   set = std::move(next);
 }
 
-}  // namespace ochrehill
+}  // namespace cairnjunction::policy
--- a/src/policy/score.cpp
+++ b/src/policy/score.cpp
@@ -3,22 +3,22 @@
 
 #include "policy/module.hpp"
 
-namespace ochrehill {
+namespace cairnjunction::policy {
 
 // Worth of what the request can still earn, by request or by unit of work as the worth is counted.
 double Module::worthOf(const Open& r, std::uint32_t tenant) {
   const ClassSettings& c = classes[r.cls].set;
-  double worth = c.worth;
-  if (now >= r.aimAt) worth *= c.lateShare;
+  double worth = c.priorityWeight;
+  if (now >= r.aimAt) worth *= c.lateValueFraction;
   if (tenant < set.tenants.size() && set.tenants[tenant].quotaPerSecond > 0) {
-    const double share = set.tenants[tenant].quotaPerSecond / set.groupSize;
+    const double share = set.tenants[tenant].quotaPerSecond / set.gatewayCount;
     const double passed = toSeconds(now - quotaAt);
     quotaAt = now;
     for (std::size_t i = 0; i < quotaTokens.size(); ++i)
-      quotaTokens[i] = std::min(quotaTokens[i] + passed * set.tenants[i].quotaPerSecond / set.groupSize,
-                                set.tenants[i].quotaPerSecond / set.groupSize);
+      quotaTokens[i] = std::min(quotaTokens[i] + passed * set.tenants[i].quotaPerSecond / set.gatewayCount,
+                                set.tenants[i].quotaPerSecond / set.gatewayCount);
     if (share > 0 && quotaTokens[tenant] >= 1) quotaTokens[tenant] -= 1;
-    else worth *= set.overShareWorth;
+    else worth *= set.overQuotaWeightFactor;
   }
   return worth;
 }
@@ -44,4 +44,4 @@
   std::erase_if(levels, [](const Level& l) { return l.seen < 0.01; });
 }
 
-}  // namespace ochrehill
+}  // namespace cairnjunction::policy
--- a/src/settings.hpp
+++ b/src/policy/settings_validation.hpp
@@ -1,10 +1,10 @@
 // Rejects settings that make no sense, before any decision is taken on them.
 #pragma once
 
-#include "ochrehill/ochrehill.hpp"
+#include "cairnjunction/load_balancer.hpp"
 
-namespace ochrehill {
+namespace cairnjunction::policy {
 
 void validate(const Settings& settings);  // throws std::invalid_argument that names the setting
 
-}  // namespace ochrehill
+}  // namespace cairnjunction::policy
--- a/src/policy/state.hpp
+++ b/src/policy/state.hpp
@@ -13,17 +13,17 @@
 #include <utility>
 #include <vector>
 
-#include "numbers.hpp"
-#include "ochrehill/ochrehill.hpp"
+#include "cairnjunction/load_balancer.hpp"
+#include "common/numeric.hpp"
 
-namespace ochrehill {
+namespace cairnjunction::policy {
 
 constexpr std::size_t kTries = 8;  // attempts kept for one request
 
 enum class Health { good, ejected, trial };
 
 struct Host {
-  HostEntry entry;
+  EndpointInfo entry;
   std::uint64_t hash = 0;
   bool local = false;
   int inflight = 0;
@@ -36,26 +36,26 @@
   std::vector<double> classFails;   // by class: share of the recent attempts that failed
   double outcomes = 0, errors = 0;  // decayed counts, for the pool's error rate
   Health health = Health::good;
-  Time until{};  // end of the ejection
+  Timestamp until{};  // end of the ejection
   int ejections = 0;
   double crowd = 1, share = 1;  // one and what it holds a core, as last told; of its draws kept
   bool silent = false;
   int lines = 0;  // connections that should be open; as told, if exact
   bool exact = false;
-  Reach reach = Reach::open;
-  Time startedAfter{};  // by what was seen of it
-  Time heard{}, used{};
-  int fulls = 0;                  // "full" answers on end
-  Time restUntil{}, dialAfter{};  // nothing is sent before; no new connection is opened before
-  int dialFails = 0;              // connections on end that could not be opened
+  Reachability reach = Reachability::reachable;
+  Timestamp startedAfter{};  // by what was seen of it
+  Timestamp heard{}, used{};
+  int fulls = 0;                       // "full" answers on end
+  Timestamp restUntil{}, dialAfter{};  // nothing is sent before; no new connection is opened before
+  int dialFails = 0;                   // connections on end that could not be opened
   double coldTokens = 0;
-  Time coldAt{};
+  Timestamp coldAt{};
   std::deque<std::pair<std::uint32_t, std::uint32_t>> sent;  // (slot, generation) in order of sending
 };
 
 struct Try {
-  HostId host = kNone;
-  Time at{};
+  EndpointId host = kNone;
+  Timestamp at{};
   bool out = false, mayHaveRun = false, cancelled = false, dialled = false;
   std::size_t age = 0;  // of the connection used: how long it lay idle, as a step of Lost; 0 = fresh or new
 };
@@ -64,7 +64,7 @@
   RequestId id = 0;
   std::uint32_t generation = 0;
   std::uint32_t cls = kNone;
-  Time deadline{}, aimAt{};
+  Timestamp deadline{}, aimAt{};
   double cost = 0;   // against the class's mean
   double score = 0;  // 1 to 100
   std::uint64_t key = 0;
@@ -109,13 +109,13 @@
 
 struct Turn {  // of one key: who waits, in order of arrival; the first one has the turn
   std::deque<std::uint32_t> queue;
-  Time restUntil{};
+  Timestamp restUntil{};
 };
 
 enum class Due { answer, copy, turn };  // last moment for an answer; a second copy; a look at the key's turn
 
 struct Guard {
-  Time at;
+  Timestamp at;
   std::uint32_t slot, generation;
   Due due;
   bool operator>(const Guard& o) const { return at != o.at ? at > o.at : slot > o.slot; }
@@ -131,4 +131,4 @@
   }
 };
 
-}  // namespace ochrehill
+}  // namespace cairnjunction::policy
--- a/src/policy/timers.cpp
+++ b/src/policy/timers.cpp
@@ -1,18 +1,18 @@
 // The start, and what falls due by time: deadlines, turns, second copies, sweeps.
 #include "policy/module.hpp"
 
-namespace ochrehill {
+namespace cairnjunction::policy {
 
-Module::Module(Settings s, Time t)
+Module::Module(Settings s, Timestamp t)
     : set(std::move(s)), engine(set.seed), now(t), started(t), nextSweep(t + kSweep) {
   for (const ClassSettings& c : set.classes) {
     classes.push_back({c});
-    meanAim += toSeconds(c.aim) / static_cast<double>(set.classes.size());
+    meanAim += toSeconds(c.latencyObjective) / static_cast<double>(set.classes.size());
   }
   ClassSettings unknown = set.classes.front();  // what nobody described: never repeated, lowest worth
   unknown.name = "unknown";
-  unknown.effect = Effect::fragile;
-  unknown.worth = 0;
+  unknown.idempotency = Idempotency::unsafe;
+  unknown.priorityWeight = 0;
   classes.push_back({unknown});
   quotaTokens.assign(set.tenants.size(), 0);
   quotaAt = t;
@@ -52,11 +52,11 @@
   while (!guards.empty() && over(guards.top())) guards.pop();
   // Danger: requests end long before their deadlines, and their guards would be kept until then.
   if (guards.size() > guards.most) guards.drop(over);
-  Time want = guards.empty() ? nextSweep : std::min(nextSweep, guards.top().at);
+  Timestamp want = guards.empty() ? nextSweep : std::min(nextSweep, guards.top().at);
   want = std::max(want, now + Duration(1));
   if (armed > now && armed <= want) return;
   armed = want;
-  emit(ActionKind::wake, 0, 0, kNone, want);
+  emit(ActionKind::scheduleWake, 0, 0, kNone, want);
 }
 
-}  // namespace ochrehill
+}  // namespace cairnjunction::policy
--- a/src/policy/turns.cpp
+++ b/src/policy/turns.cpp
@@ -1,7 +1,7 @@
 // Turns: requests of one key go one at a time, in order of arrival.
 #include "policy/module.hpp"
 
-namespace ochrehill {
+namespace cairnjunction::policy {
 
 // Danger: two requests of one key at a host at once, or out of order. A request stays in its key's queue
 // until it is over and all its attempts are settled; only the first is sent, and after an attempt whose
@@ -34,7 +34,7 @@
   const std::size_t ahead = turn.queue.size();
   turn.queue.push_back(slot);
   if (ahead > 0 && hopeless(r, ahead)) return finish(r);
-  guards.push({r.deadline - set.step, slot, r.generation, Due::answer});
+  guards.push({r.deadline - set.eventInterval, slot, r.generation, Due::answer});
   guards.push({lastUse(r) - usualTime(r), slot, r.generation, Due::turn});
   turnsDue.push_back(r.key);
 }
@@ -43,4 +43,4 @@
   std::erase_if(turns, [&](const auto& t) { return t.second.queue.empty() && now >= t.second.restUntil; });
 }
 
-}  // namespace ochrehill
+}  // namespace cairnjunction::policy
--- a/src/pools/plan.cpp
+++ b/src/pools/passive_health_filter.cpp
@@ -1,37 +1,39 @@
 // Which servers of a pool of fixed addresses are offered to its decision module.
-#include "pools/plan.hpp"
+#include "pools/passive_health_filter.hpp"
 
 #include <algorithm>
 
 namespace cairnjunction::pools {
 
-using ochrehill::Fault;
-using ochrehill::Outcome;
-using ochrehill::Time;
+using policy::FailureReason;
+using policy::Outcome;
+using policy::Timestamp;
 
-bool failed(Outcome outcome, Fault fault) {
+bool failed(Outcome outcome, FailureReason fault) {
   switch (outcome) {
     case Outcome::timeout:
     case Outcome::reset: return true;
-    case Outcome::connectFailed: return fault == Fault::refused || fault == Fault::dialSilent;
-    case Outcome::error: return fault == Fault::spoilt;
+    case Outcome::connectFailed:
+      return fault == FailureReason::connectionRefused || fault == FailureReason::connectTimeout;
+    case Outcome::error: return fault == FailureReason::malformedResponse;
     default: return false;
   }
 }
 
-Plan::Plan(std::vector<route::PoolServer> servers) : servers_(std::move(servers)), states_(servers_.size()) {
+PassiveHealthFilter::PassiveHealthFilter(std::vector<route::PoolServer> servers)
+    : servers_(std::move(servers)), states_(servers_.size()) {
   settle();
 }
 
-bool Plan::onResult(Time now, std::size_t server, bool failure) {
+bool PassiveHealthFilter::onResult(Timestamp now, std::size_t server, bool failure) {
   const route::PoolServer& set = servers_[server];
   State& state = states_[server];
   if (!failure) {
-    if (state.outUntil == Time{}) state.fails = 0;
+    if (state.outUntil == Timestamp{}) state.fails = 0;
     return false;
   }
   // As documented: of a single server failures are not counted.
-  if (set.failsMost == 0 || servers_.size() == 1 || state.outUntil > Time{}) return false;
+  if (set.failsMost == 0 || servers_.size() == 1 || state.outUntil > Timestamp{}) return false;
   if (state.fails == 0 || now - state.since > set.failTimeout) {
     state.fails = 0;
     state.since = now;
@@ -42,24 +44,24 @@
   return settle();
 }
 
-bool Plan::onTime(Time now) {
+bool PassiveHealthFilter::onTime(Timestamp now) {
   bool back = false;
   for (State& state : states_)
-    if (state.outUntil > Time{} && now >= state.outUntil) {
+    if (state.outUntil > Timestamp{} && now >= state.outUntil) {
       state = State{};
       back = true;
     }
   return back && settle();
 }
 
-std::optional<Time> Plan::next() const {
-  std::optional<Time> at;
+std::optional<Timestamp> PassiveHealthFilter::next() const {
+  std::optional<Timestamp> at;
   for (const State& state : states_)
-    if (state.outUntil > Time{} && (!at || state.outUntil < *at)) at = state.outUntil;
+    if (state.outUntil > Timestamp{} && (!at || state.outUntil < *at)) at = state.outUntil;
   return at;
 }
 
-bool Plan::settle() {
+bool PassiveHealthFilter::settle() {
   const auto with = [&](auto holds) {
     std::vector<bool> out(servers_.size());
     for (std::size_t i = 0; i < servers_.size(); ++i) out[i] = !servers_[i].down && holds(i);
@@ -69,9 +71,9 @@
     return std::find(in.begin(), in.end(), true) != in.end();
   };
   std::vector<bool> next =
-      with([&](std::size_t i) { return !servers_[i].backup && states_[i].outUntil == Time{}; });
+      with([&](std::size_t i) { return !servers_[i].backup && states_[i].outUntil == Timestamp{}; });
   if (!any(next))
-    next = with([&](std::size_t i) { return servers_[i].backup && states_[i].outUntil == Time{}; });
+    next = with([&](std::size_t i) { return servers_[i].backup && states_[i].outUntil == Timestamp{}; });
   if (!any(next)) next = with([](std::size_t) { return true; });
   if (next == offered_) return false;
   offered_ = std::move(next);
--- a/src/pools/plan.hpp
+++ b/src/pools/passive_health_filter.hpp
@@ -8,31 +8,31 @@
 #include <optional>
 #include <vector>
 
-#include "ochrehill/ochrehill.hpp"
+#include "cairnjunction/load_balancer.hpp"
 #include "route/routes.hpp"
 
 namespace cairnjunction::pools {
 
 // Whether an attempt's end counts as a failure of its server: nobody answered, or the answer was none.
-bool failed(ochrehill::Outcome outcome, ochrehill::Fault fault);
+bool failed(policy::Outcome outcome, policy::FailureReason fault);
 
-class Plan {
+class PassiveHealthFilter {
  public:
-  explicit Plan(std::vector<route::PoolServer> servers);
+  explicit PassiveHealthFilter(std::vector<route::PoolServer> servers);
 
   // Both return whether offered() has changed. Times never go back.
-  bool onResult(ochrehill::Time now, std::size_t server, bool failure);
-  bool onTime(ochrehill::Time now);
+  bool onResult(policy::Timestamp now, std::size_t server, bool failure);
+  bool onTime(policy::Timestamp now);
 
   // By server. Where every one that could serve is out for failures, all of them are offered: any beats none.
   // Backups are offered only while no other one is in.
   const std::vector<bool>& offered() const { return offered_; }
-  std::optional<ochrehill::Time> next() const;  // when onTime is due; nothing: it is not
+  std::optional<policy::Timestamp> next() const;  // when onTime is due; nothing: it is not
 
  private:
   struct State {
     std::uint32_t fails = 0;
-    ochrehill::Time since{}, outUntil{};  // first of these failures; zero: it is in
+    policy::Timestamp since{}, outUntil{};  // first of these failures; zero: it is in
   };
   bool settle();
 
--- a/src/pools/budget.hpp
+++ b/src/pools/shared_quota.hpp
@@ -9,10 +9,10 @@
 
 namespace cairnjunction::pools {
 
-class Budget {
+class SharedQuota {
  public:
   // Of `total` each of `pools` is sure of an equal part of one half. With one pool it is all its own.
-  Budget(std::uint64_t total, std::size_t pools)
+  SharedQuota(std::uint64_t total, std::size_t pools)
       : sure_(pools > 1 ? total / (2 * pools) : total), common_(total - sure_ * pools), held_(pools, 0) {}
 
   // False, and nothing is taken, if there is not so much left for this pool.
--- a/src/wire.cpp
+++ b/src/sim/adapter.cpp
@@ -1,10 +1,12 @@
-#include "wire.hpp"
+#include "sim/adapter.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <stdexcept>
 
-namespace ochrehill::wire {
+namespace cairnjunction::sim {
+
+using namespace policy;  // the adapter speaks of nothing else
 namespace {
 
 struct BadLine : std::runtime_error {
@@ -56,12 +58,12 @@
   switch (code) {
     case 10: return Outcome::served;
     case 20: return Outcome::error;
-    case 30: return Outcome::full;
+    case 30: return Outcome::overloaded;
     case 40: return Outcome::timeout;
     case 50: return Outcome::connectFailed;
     case 60: return Outcome::reset;
     case 70: return Outcome::cancelled;
-    case 80: return Outcome::moot;
+    case 80: return Outcome::notSent;
     default: throw BadLine("unknown disposition " + std::to_string(code));
   }
 }
@@ -109,46 +111,48 @@
     while (nextPair(rest, p)) {
       const std::string_view n = p.name;
       if (n == "rngSeed") s.seed = static_cast<std::uint64_t>(number<std::int64_t>(p));
-      else if (n == "groupSize") s.groupSize = number<std::uint32_t>(p);
-      else if (n == "ceilings.parallelTries") s.parallelTries = boolean(p);
-      else if (n == "weights") s.liveWeights = p.value == "live";
-      else if (n == "myNumber") s.number = number<std::uint32_t>(p);
+      else if (n == "groupSize") s.gatewayCount = number<std::uint32_t>(p);
+      else if (n == "ceilings.parallelTries") s.hedging = boolean(p);
+      else if (n == "weights") s.loadReports = p.value == "live";
+      else if (n == "myNumber") s.gatewayIndex = number<std::uint32_t>(p);
       else if (n == "zone") s.zone = p.value;
-      else if (n == "overShareWorth") s.overShareWorth = number<double>(p);
-      else if (n == "registryMode") s.askDiscovery = p.value == "ask";
-      else if (n == "stepNs") s.step = span(p);
-      else if (n == "domain.warmKeys") s.warmKeys = boolean(p);
-      else if (n == "ceilings.retryAfter") s.retryAfter = boolean(p);
-      else if (n == "ceilings.cancel") s.cancel = boolean(p);
+      else if (n == "overShareWorth") s.overQuotaWeightFactor = number<double>(p);
+      else if (n == "registryMode") s.pollDiscovery = p.value == "ask";
+      else if (n == "stepNs") s.eventInterval = span(p);
+      else if (n == "domain.warmKeys") s.keyAffinity = boolean(p);
+      else if (n == "ceilings.retryAfter") s.retryAfterAllowed = boolean(p);
+      else if (n == "ceilings.cancel") s.cancelAllowed = boolean(p);
       else if (n == "ceilings.maxAttempts") s.maxAttempts = number<std::uint32_t>(p);
       else if (n == "ceilings.streamsPerConn") s.streamsPerConnection = number<std::uint32_t>(p);
-      else if (n == "ceilings.idleCloseNs") s.idleClose = span(p);
+      else if (n == "ceilings.idleCloseNs") s.idleTimeout = span(p);
       else if (n == "ceilings.maxRetryAfterNs") s.maxRetryAfter = span(p);
-      else if (n == "rules.askWithinNs") s.askWithin = span(p);
-      else if (n == "rules.coldNs") s.coldTime = span(p);
-      else if (n == "rules.coldShare") s.coldShare = number<double>(p);
-      else if (n == "rules.fallMultiple") s.fallMultiple = number<double>(p);
-      else if (n == "rules.fallNs") s.fallWindow = span(p);
-      else if (n == "rules.keyRestNs") s.keyRest = span(p);
+      else if (n == "rules.askWithinNs") s.maxPollInterval = span(p);
+      else if (n == "rules.coldNs") s.slowStartDuration = span(p);
+      else if (n == "rules.coldShare") s.slowStartInitialFraction = number<double>(p);
+      else if (n == "rules.fallMultiple") s.collapseLoadFactor = number<double>(p);
+      else if (n == "rules.fallNs") s.collapseWindow = span(p);
+      else if (n == "rules.keyRestNs") s.keyCooldown = span(p);
       else {
         indexed(n, "grades", [&](std::size_t i, std::string_view field) {
           ClassSettings& c = at(s.classes, i);
           if (field == "name") c.name = p.value;
-          else if (field == "aimNs") c.aim = span(p);
-          else if (field == "giveUpNs") c.giveUp = span(p);
-          else if (field == "windowNs") c.window = span(p);
-          else if (field == "points") c.worth = number<double>(p);
-          else if (field == "lateShare") c.lateShare = number<double>(p);
-          else if (field == "aimStretch") c.aimStretch = number<double>(p);
-          else if (field == "inTurn") c.inTurn = boolean(p);
-          else if (field == "staysIn") c.zones = names(p.value);
-          else if (field == "boundTo") c.kinds = names(p.value);
+          else if (field == "aimNs") c.latencyObjective = span(p);
+          else if (field == "giveUpNs") c.clientTimeout = span(p);
+          else if (field == "windowNs") c.dedupWindow = span(p);
+          else if (field == "points") c.priorityWeight = number<double>(p);
+          else if (field == "lateShare") c.lateValueFraction = number<double>(p);
+          else if (field == "aimStretch") c.objectiveCostFactor = number<double>(p);
+          else if (field == "inTurn") c.serializedByKey = boolean(p);
+          else if (field == "staysIn") c.allowedZones = names(p.value);
+          else if (field == "boundTo") c.allowedMachineKinds = names(p.value);
           else if (field == "effect")
-            c.effect = p.value == "retryable" ? Effect::retryable
-                       : p.value == "dedup"   ? Effect::dedup
-                                              : Effect::fragile;
+            c.idempotency = p.value == "retryable" ? Idempotency::safe
+                            : p.value == "dedup"   ? Idempotency::keyed
+                                                   : Idempotency::unsafe;
           else if (field == "group")
-            c.group = p.value == "all" ? Group::all : p.value == "zone" ? Group::zone : Group::cell;
+            c.dedupScope = p.value == "all"    ? DedupScope::all
+                           : p.value == "zone" ? DedupScope::zone
+                                               : DedupScope::cell;
         });
         indexed(n, "tenants", [&](std::size_t i, std::string_view field) {
           TenantSettings& t = at(s.tenants, i);
@@ -160,7 +164,7 @@
   } catch (const BadLine& bad) {
     throw std::invalid_argument(bad.what());
   }
-  for (ClassSettings& c : s.classes) c.giveUp = std::max(c.giveUp, c.aim);
+  for (ClassSettings& c : s.classes) c.clientTimeout = std::max(c.clientTimeout, c.latencyObjective);
   return s;
 }
 
@@ -173,7 +177,7 @@
   };
 
   std::string name;
-  Balancer balancer;
+  LoadBalancer balancer;
   std::unordered_map<std::string, std::uint32_t, TextHash, std::equal_to<>> slotOf;
   std::vector<Ref> refs;
   std::vector<std::uint32_t> freeRefs;
@@ -181,7 +185,7 @@
   std::string reply;
   bool touched = false;
 
-  Gateway(std::string_view n, const Settings& s, Time now) : name(n), balancer(s, now) {
+  Gateway(std::string_view n, const Settings& s, Timestamp now) : name(n), balancer(s, now) {
     for (std::size_t i = 0; i < s.classes.size(); ++i)
       classOf.emplace(s.classes[i].name, static_cast<std::uint32_t>(i));
     for (std::size_t i = 0; i < s.tenants.size(); ++i)
@@ -306,7 +310,7 @@
   }
   if (name == "TIMEOUT_FIRED") {
     Gateway& g = gatewayOf(rest);
-    g.balancer.onWake(Time(clock_));
+    g.balancer.onWake(Timestamp(clock_));
     return print(g);
   }
   if (name == "LEFT" || name == "HEAD_RECEIVED") {
@@ -320,10 +324,10 @@
     Gateway::Ref* ref = g.find(id, slot);
     if (!ref) return;  // it may have been dropped already
     if (name == "LEFT") {
-      g.balancer.onClientGone(Time(clock_), g.idOf(slot));
+      g.balancer.onClientDisconnected(Timestamp(clock_), g.idOf(slot));
       ref->ended = true;
     } else {
-      g.balancer.onAnswerStarted(Time(clock_), g.idOf(slot), attempt);
+      g.balancer.onResponseStarted(Timestamp(clock_), g.idOf(slot), attempt);
     }
     print(g);
     if (name == "LEFT" && g.find(id, slot)) g.dropIfOver(slot);
@@ -351,7 +355,8 @@
     gateways_.erase(old);
   }
   try {
-    gateways_.emplace(std::string(name), std::make_unique<Gateway>(name, readSettings(rest), Time(clock_)));
+    gateways_.emplace(std::string(name),
+                      std::make_unique<Gateway>(name, readSettings(rest), Timestamp(clock_)));
   } catch (const std::invalid_argument& bad) {
     throw BadLine(bad.what());
   }
@@ -374,19 +379,19 @@
 void Adapter::row(std::string_view rest) {
   if (rowsDue_ == 0) throw BadLine("a row outside a list");
   --rowsDue_;
-  HostEntry e;
+  EndpointInfo e;
   Pair p;
   while (nextPair(rest, p)) {
     if (p.name == "host") e.address = p.value;
     else if (p.name == "locality") e.zone = p.value;
-    else if (p.name == "machine") e.kind = p.value;
+    else if (p.name == "machine") e.machineKind = p.value;
     else if (p.name == "block") e.cell = number<std::int64_t>(p);
     else if (p.name == "capacityHint") e.weight = number<double>(p);
-    else if (p.name == "upSinceNs") e.upSince = span(p);
+    else if (p.name == "upSinceNs") e.startedAt = span(p);
     else if (p.name == "phase") {
-      if (p.value == "IN") e.phase = Phase::in;
-      else if (p.value == "LAME") e.phase = Phase::draining;
-      else if (p.value == "OUT") e.phase = Phase::out;
+      if (p.value == "IN") e.state = EndpointState::active;
+      else if (p.value == "LAME") e.state = EndpointState::draining;
+      else if (p.value == "OUT") e.state = EndpointState::removed;
       else throw BadLine("unknown phase");
     }
   }
@@ -401,18 +406,18 @@
   while (nextPair(rest, p))
     if (p.name == "kind") kind = p.value;
     else if (p.name == "buffer" && p.value != "-") index = number<std::size_t>(p);
-  static const std::vector<HostEntry> none;
+  static const std::vector<EndpointInfo> none;
   if (kind == "unavailable") {
-    g.balancer.onHosts(Time(clock_), ListKind::unavailable, none);
+    g.balancer.onEndpoints(Timestamp(clock_), EndpointListKind::unavailable, none);
     return print(g);
   }
-  ListKind what;
-  if (kind == "update") what = ListKind::update;
-  else if (kind == "replace") what = ListKind::replace;
-  else if (kind == "restored") what = ListKind::restored;
+  EndpointListKind what;
+  if (kind == "update") what = EndpointListKind::update;
+  else if (kind == "replace") what = EndpointListKind::replace;
+  else if (kind == "restored") what = EndpointListKind::restored;
   else throw BadLine("unknown kind of news");
   if (index >= lists_.size() || !lists_[index].known) throw BadLine("unknown list");
-  g.balancer.onHosts(Time(clock_), what, lists_[index].entries);
+  g.balancer.onEndpoints(Timestamp(clock_), what, lists_[index].entries);
   print(g);
 }
 
@@ -435,10 +440,10 @@
     bool timed = false, classed = false;
     while (nextPair(rest, p)) {
       if (p.name == "leftNs") {
-        q.left = span(p);
+        q.timeRemaining = span(p);
         timed = true;
       } else if (p.name == "costNs") {
-        q.cost = span(p);
+        q.expectedCost = span(p);
       } else if (p.name == "tierClass") {
         const auto it = g.classOf.find(p.value);
         q.classIndex = it == g.classOf.end() ? kNone : it->second;
@@ -461,7 +466,7 @@
     throw;
   }
   q.id = g.take(id);
-  g.balancer.onRequest(Time(clock_), q);
+  g.balancer.onRequest(Timestamp(clock_), q);
   print(g);
 }
 
@@ -478,8 +483,8 @@
     } else if (p.name == "disposition") {
       a.outcome = outcomeOf(number<int>(p));
       coded = true;
-    } else if (p.name == "timeTakenNs") a.taken = span(p);
-    else if (p.name == "terminal") a.terminal = boolean(p);
+    } else if (p.name == "timeTakenNs") a.elapsed = span(p);
+    else if (p.name == "terminal") a.endsRequest = boolean(p);
   }
   if (id.empty() || !numbered || !coded) throw BadLine("ref, go or disposition missing");
   std::uint32_t slot = 0;
@@ -487,8 +492,8 @@
   if (!ref) return;
   a.request = g.idOf(slot);
   if (ref->out > 0) --ref->out;
-  if (a.terminal) ref->ended = true;
-  g.balancer.onResult(Time(clock_), a);
+  if (a.endsRequest) ref->ended = true;
+  g.balancer.onResult(Timestamp(clock_), a);
   print(g);
   if (g.find(id, slot)) g.dropIfOver(slot);
 }
@@ -501,14 +506,14 @@
       case ActionKind::send:
         ++g.refs[slot].out;
         out.append("FORWARD i=").append(g.name).append(" ref=").append(g.refs[slot].id);
-        out.append(" host=").append(g.balancer.address(a.host)).append(" withinNs=");
+        out.append(" host=").append(g.balancer.address(a.endpoint)).append(" withinNs=");
         append(out, a.span.count());
         break;
-      case ActionKind::refuse:
+      case ActionKind::reject:
       case ActionKind::fail:
-        out.append(a.kind == ActionKind::refuse ? "TURN_AWAY i=" : "RESPOND_ERROR i=");
+        out.append(a.kind == ActionKind::reject ? "TURN_AWAY i=" : "RESPOND_ERROR i=");
         out.append(g.name).append(" ref=").append(g.refs[slot].id);
-        if (a.kind == ActionKind::refuse && a.span > Duration{}) {
+        if (a.kind == ActionKind::reject && a.span > Duration{}) {
           out.append(" notBeforeForNs=");
           append(out, a.span.count());
         }
@@ -518,27 +523,27 @@
         out.append("ABORT_ATTEMPT i=").append(g.name).append(" ref=").append(g.refs[slot].id).append(" go=");
         append(out, a.attempt);
         break;
-      case ActionKind::close:
-        out.append("CLOSE i=").append(g.name).append(" host=").append(g.balancer.address(a.host));
+      case ActionKind::closeIdle:
+        out.append("CLOSE i=").append(g.name).append(" host=").append(g.balancer.address(a.endpoint));
         break;
-      case ActionKind::forget: continue;  // names of hosts are used here, not ids
-      case ActionKind::wake:
+      case ActionKind::forgetEndpoint: continue;  // names of hosts are used here, not ids
+      case ActionKind::scheduleWake:
         out.append("WAKE_AT i=").append(g.name).append(" alarmTimeNs=");
         append(out, a.span.count());
         out.append(" ref=w");
         break;
-      case ActionKind::subscribe: out.append("SUBSCRIBE i=").append(g.name).append(" active=1"); break;
+      case ActionKind::pollEndpoints: out.append("SUBSCRIBE i=").append(g.name).append(" active=1"); break;
       case ActionKind::log: out.append("DEBUG i=").append(g.name).append(" words=").append(a.text); break;
     }
     out += '\n';
   }
   // Ids are dropped only after all actions that name them are printed.
   for (const Action& a : g.balancer.actions())
-    if (a.kind == ActionKind::refuse || a.kind == ActionKind::fail) {
+    if (a.kind == ActionKind::reject || a.kind == ActionKind::fail) {
       const auto slot = static_cast<std::uint32_t>(a.request);
       if (!g.refs[slot].id.empty()) g.dropIfOver(slot);
     }
   g.balancer.actions().clear();
 }
 
-}  // namespace ochrehill::wire
+}  // namespace cairnjunction::sim
--- a/src/wire.hpp
+++ b/src/sim/adapter.hpp
@@ -12,9 +12,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "ochrehill/ochrehill.hpp"
+#include "cairnjunction/load_balancer.hpp"
 
-namespace ochrehill::wire {
+namespace cairnjunction::sim {
 
 // Hosts many gateways, each with a Balancer of its own. Feed it line by line.
 class Adapter {
@@ -36,7 +36,7 @@
   };
   struct List {
     bool known = false;
-    std::vector<HostEntry> entries;
+    std::vector<policy::EndpointInfo> entries;
   };
 
   void event(std::string_view name, std::string_view rest);
@@ -62,6 +62,6 @@
 };
 
 // Reads the settings of an ENLIST line; unknown ones are skipped. Throws std::invalid_argument.
-Settings readSettings(std::string_view pairs);
+policy::Settings readSettings(std::string_view pairs);
 
-}  // namespace ochrehill::wire
+}  // namespace cairnjunction::sim
--- a/src/wirehost_main.cpp
+++ b/src/sim/adapter_main.cpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "wire.hpp"
+#include "sim/adapter.hpp"
 
 namespace {
 
@@ -24,7 +24,7 @@
 }  // namespace
 
 int main() {
-  ochrehill::wire::Adapter adapter(std::cerr);
+  cairnjunction::sim::Adapter adapter(std::cerr);
   std::vector<char> block(1 << 16);
   std::string pending, reply;
   for (;;) {
--- a/src/tomlfile/reader.cpp
+++ b/src/toml/reader.cpp
@@ -1,10 +1,10 @@
 // Reads files that people write in TOML.
-#include "tomlfile/reader.hpp"
+#include "toml/reader.hpp"
 
 #include <fstream>
 #include <sstream>
 
-namespace cairnjunction::tomlfile {
+namespace cairnjunction::toml {
 namespace {
 
 std::string quoted(std::string_view key) { return "'" + std::string(key) + "'"; }
@@ -18,31 +18,31 @@
   return text.str();
 }
 
-toml::table parse(const std::string& text, const std::string& name) {
+::toml::table parse(const std::string& text, const std::string& name) {
   try {
-    return toml::parse(text, name);
-  } catch (const toml::parse_error& bad) {
+    return ::toml::parse(text, name);
+  } catch (const ::toml::parse_error& bad) {
     throw BadFile(name + ":" + std::to_string(bad.source().begin.line) + ": " +
                   std::string(bad.description()));
   }
 }
 
-void Reader::fail(const toml::node* node, const std::string& problem) const {
+void Reader::fail(const ::toml::node* node, const std::string& problem) const {
   std::ostringstream text;
   text << name_;
-  const toml::source_region& at = node ? node->source() : table_.source();
+  const ::toml::source_region& at = node ? node->source() : table_.source();
   if (at.begin.line) text << ":" << at.begin.line;
   text << ": " << what_ << problem;
   throw BadFile(text.str());
 }
 
-const toml::node* Reader::find(const char* key) {
+const ::toml::node* Reader::find(const char* key) {
   known_.insert(key);
   return table_.get(key);
 }
 
 std::string Reader::text(const char* key, const char* otherwise) {
-  const toml::node* node = find(key);
+  const ::toml::node* node = find(key);
   if (!node && otherwise) return otherwise;
   if (!node) fail(nullptr, quoted(key) + " is missing");
   const auto value = node->value_exact<std::string>();
@@ -52,7 +52,7 @@
 }
 
 std::int64_t Reader::number(const char* key, std::int64_t least, std::int64_t most, std::int64_t otherwise) {
-  const toml::node* node = find(key);
+  const ::toml::node* node = find(key);
   if (!node) return otherwise;
   const auto value = node->value_exact<std::int64_t>();
   if (!value || *value < least || *value > most)
@@ -61,7 +61,7 @@
 }
 
 double Reader::real(const char* key, double least, double most, double otherwise) {
-  const toml::node* node = find(key);
+  const ::toml::node* node = find(key);
   if (!node) return otherwise;
   const auto value = node->value<double>();
   if (!value || !(*value >= least && *value <= most)) fail(node, quoted(key) + " is out of range");
@@ -69,18 +69,18 @@
 }
 
 bool Reader::flag(const char* key, bool otherwise) {
-  const toml::node* node = find(key);
+  const ::toml::node* node = find(key);
   if (!node) return otherwise;
   const auto value = node->value_exact<bool>();
   if (!value) fail(node, quoted(key) + " is neither true nor false");
   return *value;
 }
 
-void Reader::tables(const char* key, const std::function<void(const toml::table&)>& each) {
-  const toml::node* node = find(key);
+void Reader::tables(const char* key, const std::function<void(const ::toml::table&)>& each) {
+  const ::toml::node* node = find(key);
   if (!node) return;
   if (!node->is_array_of_tables()) fail(node, quoted(key) + " is not given as [[" + key + "]]");
-  for (const toml::node& element : *node->as_array()) each(*element.as_table());
+  for (const ::toml::node& element : *node->as_array()) each(*element.as_table());
 }
 
 void Reader::finish() const {
@@ -88,4 +88,4 @@
     if (!known_.count(std::string(key.str()))) fail(&node, "unknown key " + quoted(key.str()));
 }
 
-}  // namespace cairnjunction::tomlfile
+}  // namespace cairnjunction::toml
--- a/src/tomlfile/reader.hpp
+++ b/src/toml/reader.hpp
@@ -11,7 +11,7 @@
 #define TOML_HEADER_ONLY 1
 #include <toml++/toml.h>
 
-namespace cairnjunction::tomlfile {
+namespace cairnjunction::toml {
 
 inline constexpr std::size_t kTextMost = 1024;  // bytes of a text: paths and addresses are the longest
 
@@ -20,19 +20,19 @@
 };
 
 std::string readWhole(const std::string& path);  // throws BadFile
-toml::table parse(const std::string& text,
-                  const std::string& name);  // `name` stands in errors; throws BadFile
+::toml::table parse(const std::string& text,
+                    const std::string& name);  // `name` stands in errors; throws BadFile
 
 // One table. What it asks for and is not there has the value given for that case.
 class Reader {
  public:
   // `what` is said before a problem, as "[[keeper]]: ". The table must outlive it.
-  Reader(const toml::table& table, std::string what, std::string name)
+  Reader(const ::toml::table& table, std::string what, std::string name)
       : table_(table), what_(std::move(what)), name_(std::move(name)) {}
 
-  [[noreturn]] void fail(const toml::node* node,
+  [[noreturn]] void fail(const ::toml::node* node,
                          const std::string& problem) const;            // null: of the whole table
-  const toml::node* find(const char* key);                             // null: not there
+  const ::toml::node* find(const char* key);                           // null: not there
   std::string text(const char* key, const char* otherwise = nullptr);  // null: it must be there
   std::int64_t number(const char* key, std::int64_t least, std::int64_t most, std::int64_t otherwise);
   int number(const char* key, int least, int most, int otherwise) {
@@ -40,13 +40,13 @@
   }
   double real(const char* key, double least, double most, double otherwise);  // a whole number too
   bool flag(const char* key, bool otherwise);
-  void tables(const char* key, const std::function<void(const toml::table&)>& each);  // [[key]]
+  void tables(const char* key, const std::function<void(const ::toml::table&)>& each);  // [[key]]
   void finish() const;  // all keys were asked for, or it fails
 
  private:
-  const toml::table& table_;
+  const ::toml::table& table_;
   std::string what_, name_;
   std::set<std::string> known_;
 };
 
-}  // namespace cairnjunction::tomlfile
+}  // namespace cairnjunction::toml
--- a/test.sh
+++ b/test.sh
@@ -10,6 +10,6 @@
   flags="-DCMAKE_CXX_FLAGS_RELWITHDEBINFO=-O1"
 fi
 cmake -B "$dir" -DCMAKE_BUILD_TYPE=RelWithDebInfo -DCMAKE_CXX_FLAGS=-Werror $flags \
-  -DOCHREHILL_TESTS=ON -DOCHREHILL_SANITIZE="$sanitize"
+  -DCAIRNJUNCTION_TESTS=ON -DCAIRNJUNCTION_SANITIZE="$sanitize"
 cmake --build "$dir" -j"$(nproc)"
 ctest --test-dir "$dir" --output-on-failure -j"$(nproc)"
--- a/tests/ops/door_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -1,15 +1,15 @@
 // The operators' door and the figures behind it, over sockets.
-#include "ops/door.hpp"
+#include "admin/admin_server.hpp"
 
 #include <algorithm>
 #include <map>
 #include <memory>
 #include <sstream>
 
+#include "admin/figures.hpp"
 #include "app/gateway.hpp"
 #include "gateway_waits.hpp"
 #include "net_peers.hpp"
-#include "ops/figures.hpp"
 
 namespace cairnjunction::testing {
 namespace {
@@ -43,7 +43,8 @@
 
 class DoorTest : public LoopTest {
  protected:
-  ops::Door door{io, loopback(), [](std::string_view line) { return "SUCCESS " + std::string(line) + "\n"; }};
+  admin::Door door{io, loopback(),
+                   [](std::string_view line) { return "SUCCESS " + std::string(line) + "\n"; }};
   std::string ask(const std::string& text) {
     const auto call = Call::to(io, door.listening());
     call->say(text);
@@ -70,23 +71,23 @@
 }
 
 TEST_F(DoorTest, ALineWithoutEndIsTurnedDownAtItsBound) {
-  EXPECT_EQ(ask(std::string(ops::Door::kLineMost + 1, 'x')).rfind("FAILURE", 0), 0u);
-  EXPECT_EQ(ask(std::string(ops::Door::kLineMost + 1, 'x') + "\n").rfind("FAILURE", 0), 0u);
+  EXPECT_EQ(ask(std::string(admin::Door::kLineMost + 1, 'x')).rfind("FAILURE", 0), 0u);
+  EXPECT_EQ(ask(std::string(admin::Door::kLineMost + 1, 'x') + "\n").rfind("FAILURE", 0), 0u);
 }
 
 TEST_F(DoorTest, CallersThatHoldOnKeepNobodyOut) {
   std::vector<std::shared_ptr<Call>> silent;
-  for (std::size_t i = 0; i < 3 * ops::Door::kCallersMost; ++i) {
+  for (std::size_t i = 0; i < 3 * admin::Door::kCallersMost; ++i) {
     silent.push_back(Call::to(io, door.listening()));
     silent.back()->say("che");
   }
   EXPECT_EQ(ask("check\n"), "SUCCESS check\n");
-  EXPECT_LE(door.callers(), ops::Door::kCallersMost);
+  EXPECT_LE(door.callers(), admin::Door::kCallersMost);
   EXPECT_TRUE(silent.front()->over) << "the one that came first made room";
 }
 
 TEST(Report, NamesEachFigureOnALineOfItsOwn) {
-  ops::Figures figures;
+  admin::Figures figures;
   figures.classes = {{"read", 812, 3, 1}, {"a=b c", 0, 0, 0}};
   figures.dispatches = 900;
   figures.concurrent = 14;
@@ -95,7 +96,7 @@
   figures.reloadSuccess = 1;
   figures.reloadFailure = 4;
   EXPECT_EQ(
-      ops::reportText(figures),
+      admin::reportText(figures),
       "edge_gw.replies.read.success=812\nedge_gw.replies.read.overload=3\nedge_gw.replies.read.error=1\n"
       "edge_gw.replies.a_b_c.success=0\nedge_gw.replies.a_b_c.overload=0\n"
       "edge_gw.replies.a_b_c.error=0\n"
--- a/tests/app/config_test.cpp
+++ b/tests/app/config_test.cpp
@@ -31,15 +31,15 @@
   j["settings"]["ceilings"]["streamsPerConn"] = 100;
   const Config c = parse(j);
   EXPECT_EQ(c.module.classes.size(), 3u);
-  EXPECT_EQ(c.module.classes[2].effect, ochrehill::Effect::dedup);
-  EXPECT_EQ(c.module.classes[2].group, ochrehill::Group::zone);
-  EXPECT_EQ(c.module.classes[0].aim, std::chrono::seconds(20));
+  EXPECT_EQ(c.module.classes[2].idempotency, policy::Idempotency::keyed);
+  EXPECT_EQ(c.module.classes[2].dedupScope, policy::DedupScope::zone);
+  EXPECT_EQ(c.module.classes[0].latencyObjective, std::chrono::seconds(20));
   EXPECT_EQ(c.module.seed, 0x8c1f30d27a5be964u);
-  EXPECT_TRUE(c.module.askDiscovery && c.module.cancel && !c.module.parallelTries);
+  EXPECT_TRUE(c.module.pollDiscovery && c.module.cancelAllowed && !c.module.hedging);
   EXPECT_EQ(c.module.streamsPerConnection, 1u) << "on sockets a connection carries one request at a time";
   ASSERT_TRUE(c.known);
   EXPECT_EQ(c.known->version, 41);
-  EXPECT_EQ(c.known->hosts.at(0).state, HostState::draining);
+  EXPECT_EQ(c.known->endpoints.at(0).state, DiscoveredState::draining);
 }
 
 TEST(Config, AVariableGoesBeforeTheFile) {
@@ -93,9 +93,9 @@
 }
 
 TEST(HostList, RefusesNonsense) {
-  EXPECT_THROW(parseHostList(json::array()), std::invalid_argument);
-  EXPECT_THROW(parseHostList({{"rev", 1}}), std::invalid_argument);
-  EXPECT_THROW(parseHostList({{"rev", 1}, {"targets", {{{"uid", ""}, {"state", "SERVING"}}}}}),
+  EXPECT_THROW(parseEndpointList(json::array()), std::invalid_argument);
+  EXPECT_THROW(parseEndpointList({{"rev", 1}}), std::invalid_argument);
+  EXPECT_THROW(parseEndpointList({{"rev", 1}, {"targets", {{{"uid", ""}, {"state", "SERVING"}}}}}),
                std::invalid_argument);
   EXPECT_THROW(parseEndpoint("1.2.3.4"), std::invalid_argument);
   EXPECT_THROW(parseEndpoint("1.2.3.4:99999"), std::invalid_argument);
--- a/tests/app/gateway_test.cpp
+++ b/tests/app/gateway_test.cpp
@@ -769,7 +769,7 @@
 
 TEST_F(GatewayTest, AnAgentThatIsSilentAtTheStartIsAskedUntilItSpeaks) {
   config["settings"]["registryMode"] = "push";
-  waits.discovery.answer = std::chrono::milliseconds(20);
+  waits.discovery.response = std::chrono::milliseconds(20);
   std::size_t calls = 0;
   discovery.peer.script = [&](PeerConnection& c) {
     if (++calls == 5)
@@ -784,8 +784,8 @@
 
 // A drain that a silent watch misses is heard by the call that takes its place.
 TEST_F(GatewayTest, ADrainBehindASilentWatchIsHeard) {
-  waits.discovery.watchLeast = waits.discovery.watchMost = std::chrono::milliseconds(60);
-  waits.discovery.late = std::chrono::milliseconds(20);
+  waits.discovery.watchMin = waits.discovery.watchMax = std::chrono::milliseconds(60);
+  waits.discovery.watchGrace = std::chrono::milliseconds(20);
   std::size_t calls = 0;
   discovery.peer.script = [&](PeerConnection& c) {
     const auto text = [](int rev, const json& targets) {
@@ -803,7 +803,7 @@
 }
 
 TEST_F(GatewayTest, ASilentWatchCountsAsFailed) {
-  waits.discovery.answer = std::chrono::milliseconds(20);
+  waits.discovery.response = std::chrono::milliseconds(20);
   discovery.peer.script = [&](PeerConnection& c) {
     discovery.targets.push_back(c.request.target().to_string());
   };
@@ -889,7 +889,7 @@
     ASSERT_TRUE(until([&] {
       std::size_t answered = 0;
       for (const auto& c : clients) answered += !c->answers.empty();
-      return gateway->engine().unanswered() + answered == clients.size();
+      return gateway->engine().awaitingReply() + answered == clients.size();
     }));
     bool done = false;
     gateway->drain([&] { done = true; });
--- a/tests/app/program_test.cpp
+++ b/tests/app/program_test.cpp
@@ -8,7 +8,7 @@
 #include <fstream>
 #include <thread>
 
-#include "discovery/host_list.hpp"
+#include "discovery/endpoint_list.hpp"
 #include "net_peers.hpp"
 
 namespace cairnjunction::testing {
--- a/tests/app/routes_test.cpp
+++ b/tests/app/routes_test.cpp
@@ -230,17 +230,17 @@
 }
 
 TEST_F(RoutesTest, AnUpstreamTakesNoDescriptorBeyondItsShare) {
-  struct Share final : DescriptorShare {
+  struct Share final : DescriptorQuota {
     int left = 1;
-    bool take() override { return left > 0 && left-- > 0; }
-    void give() override { ++left; }
+    bool acquire() override { return left > 0 && left-- > 0; }
+    void release() override { ++left; }
   } share;
   addPeer("silent", [](PeerConnection&) {});
-  std::vector<AttemptEnd> ends;
+  std::vector<AttemptOutcome> ends;
   HttpUpstream upstream(io, {10, std::chrono::seconds(5), {}},
-                        [&](AttemptEnd end) { ends.push_back(std::move(end)); });
+                        [&](AttemptOutcome end) { ends.push_back(std::move(end)); });
   upstream.shareDescriptors(&share);
-  upstream.list(1, peers[0]->endpoint, true);
+  upstream.updateEndpoint(1, peers[0]->endpoint, true);
   Call call;
   call.message.verb = "GET";
   call.message.target = "/read";
@@ -248,8 +248,8 @@
   upstream.start({2, 0}, 1, call, {std::chrono::seconds(30)});
   ASSERT_EQ(ends.size(), 1u);
   EXPECT_EQ(ends[0].key.call, 2u);
-  EXPECT_EQ(ends[0].outcome, ochrehill::Outcome::connectFailed);
-  EXPECT_EQ(ends[0].fault, ochrehill::Fault::noDescriptor);
+  EXPECT_EQ(ends[0].outcome, policy::Outcome::connectFailed);
+  EXPECT_EQ(ends[0].failureReason, policy::FailureReason::noDescriptor);
   EXPECT_EQ(share.left, 0);
   upstream.cancel({1, 0});
   EXPECT_EQ(share.left, 1);
--- a/tests/core/class_table_test.cpp
+++ b/tests/core/class_table_test.cpp
@@ -8,14 +8,14 @@
 namespace cairnjunction::testing {
 namespace {
 
-using ochrehill::ClassSettings;
-using ochrehill::Effect;
+using policy::ClassSettings;
+using policy::Idempotency;
 
-ClassSettings named(const std::string& name, Effect effect = Effect::fragile) {
+ClassSettings named(const std::string& name, Idempotency effect = Idempotency::unsafe) {
   ClassSettings c;
   c.name = name;
-  c.effect = effect;
-  c.aim = c.giveUp = std::chrono::seconds(1);
+  c.idempotency = effect;
+  c.latencyObjective = c.clientTimeout = std::chrono::seconds(1);
   return c;
 }
 bool none(std::uint32_t) { return false; }
@@ -31,12 +31,12 @@
 }
 
 TEST(ClassTable, AChangedClassHasAnotherIndexWhileACallHoldsItsOldOne) {
-  const ClassTable table({named("a", Effect::retryable)});
-  const auto next = table.with({named("a", Effect::fragile)}, all);
+  const ClassTable table({named("a", Idempotency::safe)});
+  const auto next = table.with({named("a", Idempotency::unsafe)}, all);
   ASSERT_TRUE(next);
   EXPECT_EQ(next->current().at("a"), 1u);
-  EXPECT_EQ(next->byIndex()[0].effect, Effect::retryable) << "a call goes by it";
-  const auto free = table.with({named("a", Effect::fragile)}, none);
+  EXPECT_EQ(next->byIndex()[0].idempotency, Idempotency::safe) << "a call goes by it";
+  const auto free = table.with({named("a", Idempotency::unsafe)}, none);
   ASSERT_TRUE(free);
   EXPECT_EQ(free->current().at("a"), 0u) << "given out again";
 }
@@ -68,7 +68,7 @@
     for (int step = 0; step < 60; ++step) {
       std::vector<ClassSettings> classes;
       for (const char* name : {"a", "b", "c", "d", "e"})
-        if (random() % 3 > 0) classes.push_back(named(name, static_cast<Effect>(random() % 3)));
+        if (random() % 3 > 0) classes.push_back(named(name, static_cast<Idempotency>(random() % 3)));
       if (classes.empty()) classes.push_back(named("z"));
       for (std::size_t i = 0; i < table.byIndex().size(); ++i) held[i] = random() % 2 == 0;
       const auto next = table.with(classes, [&](std::uint32_t i) { return held[i]; });
@@ -77,12 +77,12 @@
       for (const ClassSettings& c : classes) {
         const ClassSettings& at = next->byIndex()[next->current().at(c.name)];
         ASSERT_EQ(at.name, c.name);
-        ASSERT_EQ(at.effect, c.effect);
+        ASSERT_EQ(at.idempotency, c.idempotency);
       }
       for (std::size_t i = 0; i < table.byIndex().size(); ++i) {
         if (!held[i]) continue;
         ASSERT_EQ(next->byIndex()[i].name, table.byIndex()[i].name);
-        ASSERT_EQ(next->byIndex()[i].effect, table.byIndex()[i].effect);
+        ASSERT_EQ(next->byIndex()[i].idempotency, table.byIndex()[i].idempotency);
       }
       table = *next;
     }
--- a/tests/core/engine_test.cpp
+++ b/tests/core/engine_test.cpp
@@ -13,48 +13,49 @@
 namespace {
 
 using namespace std::chrono_literals;
-using ochrehill::Duration;
-using ochrehill::Effect;
-using ochrehill::ListKind;
-using ochrehill::Outcome;
-using ochrehill::Time;
+using policy::Duration;
+using policy::EndpointListKind;
+using policy::Idempotency;
+using policy::Outcome;
+using policy::Timestamp;
 
-ochrehill::Settings settings(std::uint64_t seed) {
-  ochrehill::Settings s;
+policy::Settings settings(std::uint64_t seed) {
+  policy::Settings s;
   s.seed = seed;
-  s.cancel = true;
+  s.cancelAllowed = true;
   s.maxAttempts = 6;
-  s.step = 5ms;
-  for (const auto& [name, effect] : {std::pair{"read", Effect::retryable},
-                                     std::pair{"write", Effect::fragile}, std::pair{"put", Effect::dedup}}) {
-    ochrehill::ClassSettings c;
+  s.eventInterval = 5ms;
+  for (const auto& [name, effect] :
+       {std::pair{"read", Idempotency::safe}, std::pair{"write", Idempotency::unsafe},
+        std::pair{"put", Idempotency::keyed}}) {
+    policy::ClassSettings c;
     c.name = name;
-    c.effect = effect;
-    c.aim = 400ms;
-    c.giveUp = 1s;
-    c.window = 2s;
+    c.idempotency = effect;
+    c.latencyObjective = 400ms;
+    c.clientTimeout = 1s;
+    c.dedupWindow = 2s;
     s.classes.push_back(c);
   }
   return s;
 }
 
 struct TestRuntime final : Runtime {
-  Time at = 24h;
-  Time wake{};
+  Timestamp at = 24h;
+  Timestamp wake{};
   int subscribed = 0;
-  Time now() const override { return at; }
-  void wakeAt(Time t) override { wake = t; }
-  void subscribe() override { ++subscribed; }
-  void doubtList() override {}
+  Timestamp now() const override { return at; }
+  void wakeAt(Timestamp t) override { wake = t; }
+  void pollEndpoints() override { ++subscribed; }
+  void requestResync() override {}
   void log(const std::string&) override {}
 };
 
 struct TestUpstream final : Upstream {
   struct Out {
-    ochrehill::HostId host;
+    policy::EndpointId host;
     std::string name;
-    AttemptLimits limits;
-    Time at;
+    AttemptTimeouts limits;
+    Timestamp at;
   };
   Engine* engine = nullptr;
   std::map<CallId, std::map<std::uint32_t, Out>> out;
@@ -63,18 +64,19 @@
   std::vector<AttemptKey> cancels, withdrawn;
   bool endCancelled = true, unwritten = false;  // the latter: no attempt is written yet
   std::size_t overlaps = 0, late = 0, outside = 0;
-  std::map<std::string, Time> windowEnd;  // of keyed calls that may have run
+  std::map<std::string, Timestamp> windowEnd;  // of keyed calls that may have run
   TestRuntime* runtime = nullptr;
-  std::map<std::string, Time> deadlines;
+  std::map<std::string, Timestamp> deadlines;
 
-  void start(AttemptKey key, ochrehill::HostId host, const Call& call, const AttemptLimits& limits) override {
+  void start(AttemptKey key, policy::EndpointId host, const Call& call,
+             const AttemptTimeouts& limits) override {
     overlaps += !out[key.call].empty();
-    late += deadlines.count(call.name) && runtime->at >= deadlines[call.name];
-    ++started[call.name];
-    out[key.call].insert_or_assign(key.attempt, Out{host, call.name, limits, runtime->at});
-    const auto window = windowEnd.find(call.name);
+    late += deadlines.count(call.externalId) && runtime->at >= deadlines[call.externalId];
+    ++started[call.externalId];
+    out[key.call].insert_or_assign(key.attempt, Out{host, call.externalId, limits, runtime->at});
+    const auto window = windowEnd.find(call.externalId);
     outside += window != windowEnd.end() &&
-               (limits.written <= Duration{} || limits.written > window->second - runtime->at);
+               (limits.write <= Duration{} || limits.write > window->second - runtime->at);
     if (atOnce)
       if (const auto outcome = atOnce()) end(key, *outcome);
   }
@@ -82,17 +84,17 @@
     cancels.push_back(key);
     if (endCancelled && out[key.call].count(key.attempt)) end(key, Outcome::cancelled);
   }
-  void withdraw(AttemptKey key) override {
+  void cancelIfUnsent(AttemptKey key) override {
     withdrawn.push_back(key);
     if (unwritten && out[key.call].count(key.attempt)) end(key, Outcome::connectFailed);
   }
-  void closeIdle(ochrehill::HostId) override {}
-  void forget(ochrehill::HostId) override {}
+  void closeIdle(policy::EndpointId) override {}
+  void forget(policy::EndpointId) override {}
   void end(AttemptKey key, Outcome outcome) {
     const Out o = out.at(key.call).at(key.attempt);
     out[key.call].erase(key.attempt);
-    AttemptEnd e{key, o.host, outcome, 1ms, {}};
-    e.answer.body = o.name;
+    AttemptOutcome e{key, o.host, outcome, 1ms, {}};
+    e.response.body = o.name;
     engine->attemptEnded(std::move(e));
   }
   std::vector<AttemptKey> open() const {
@@ -121,33 +123,33 @@
   std::uint64_t ticket = 0;
 
   void start(std::uint64_t seed = 7, int hosts = 3) { start(settings(seed), hosts); }
-  void start(const ochrehill::Settings& with, int hosts = 3) {
+  void start(const policy::Settings& with, int hosts = 3) {
     engine = std::make_unique<Engine>(with, runtime, upstream);
     upstream.engine = engine.get();
     upstream.runtime = &runtime;
-    std::vector<ochrehill::HostEntry> entries;
+    std::vector<policy::EndpointInfo> entries;
     for (int i = 0; i < hosts; ++i) {
-      ochrehill::HostEntry e;
+      policy::EndpointInfo e;
       e.address = "h" + std::to_string(i);
       entries.push_back(e);
     }
-    engine->tellHosts(ListKind::replace, entries);
+    engine->updateEndpoints(EndpointListKind::replace, entries);
   }
   CallId take(std::uint32_t cls, const std::string& name, Duration left = 900ms) {
     Call call;
-    call.name = name;
-    call.facts.classIndex = cls;
-    call.facts.left = left;
+    call.externalId = name;
+    call.attributes.classIndex = cls;
+    call.attributes.timeRemaining = left;
     upstream.deadlines[name] = runtime.at + left;
     CallId id = 0;
-    EXPECT_EQ(engine->take(std::move(call), sink, ++ticket, &id), Engine::Taken::yes);
+    EXPECT_EQ(engine->accept(std::move(call), sink, ++ticket, &id), Engine::AcceptResult::accepted);
     return id;
   }
   void pass(Duration time) {
-    const Time until = runtime.at + time;
-    while (runtime.wake > Time{} && runtime.wake <= until) {
+    const Timestamp until = runtime.at + time;
+    while (runtime.wake > Timestamp{} && runtime.wake <= until) {
       runtime.at = std::max(runtime.at, runtime.wake);
-      runtime.wake = Time{};
+      runtime.wake = Timestamp{};
       engine->wake();
     }
     runtime.at = until;
@@ -160,35 +162,35 @@
   ASSERT_EQ(upstream.open().size(), 1u);
   upstream.end({id, 0}, Outcome::served);
   ASSERT_EQ(sink.replies[1].size(), 1u);
-  EXPECT_EQ(sink.replies[1][0].verdict, Verdict::served);
+  EXPECT_EQ(sink.replies[1][0].status, ReplyStatus::ok);
   EXPECT_EQ(sink.replies[1][0].message.body, "a");
-  EXPECT_EQ(engine->openCalls(), 0u);
+  EXPECT_EQ(engine->activeCalls(), 0u);
 }
 
 TEST_F(EngineTest, TheNameOfAnOpenCallIsNotTakenTwiceAndIsFreeAfterwards) {
   start();
   const CallId id = take(1, "a");
   Call again;
-  again.name = "a";
-  again.facts.classIndex = 1;
-  again.facts.left = 900ms;
-  EXPECT_EQ(engine->take(again, sink, 99), Engine::Taken::nameInUse);
+  again.externalId = "a";
+  again.attributes.classIndex = 1;
+  again.attributes.timeRemaining = 900ms;
+  EXPECT_EQ(engine->accept(again, sink, 99), Engine::AcceptResult::idInUse);
   EXPECT_EQ(upstream.started["a"], 1);
   upstream.end({id, 0}, Outcome::served);
-  EXPECT_EQ(engine->take(again, sink, 99), Engine::Taken::yes);
+  EXPECT_EQ(engine->accept(again, sink, 99), Engine::AcceptResult::accepted);
 }
 
 TEST_F(EngineTest, TheNameStaysTakenWhileAnAttemptOfAnAbandonedCallIsOut) {
   upstream.endCancelled = false;
   start();
   const CallId id = take(1, "a");
-  engine->abandon(id);
+  engine->clientDisconnected(id);
   EXPECT_EQ(upstream.cancels.size(), 1u);
   Call again;
-  again.name = "a";
-  EXPECT_EQ(engine->take(again, sink, 99), Engine::Taken::nameInUse) << "it may still run";
+  again.externalId = "a";
+  EXPECT_EQ(engine->accept(again, sink, 99), Engine::AcceptResult::idInUse) << "it may still run";
   upstream.end({id, 0}, Outcome::cancelled);
-  EXPECT_EQ(engine->openCalls(), 0u);
+  EXPECT_EQ(engine->activeCalls(), 0u);
   EXPECT_TRUE(sink.replies.empty()) << "nobody waits for it";
 }
 
@@ -197,9 +199,9 @@
 TEST_F(EngineTest, CallsThatHaveTimeBeyondTheKillEndBeforeIt) {
   for (const bool cancel : {true, false}) {
     SCOPED_TRACE(cancel);
-    ochrehill::Settings with = settings(7);
-    with.cancel = cancel;
-    with.classes[1].inTurn = true;
+    policy::Settings with = settings(7);
+    with.cancelAllowed = cancel;
+    with.classes[1].serializedByKey = true;
     start(with);
     sink.replies.clear();
     upstream.out.clear();
@@ -207,33 +209,33 @@
     ticket = 0;
     for (const std::string name : {"sent", "in turn"}) {
       Call call;
-      call.name = name;
-      call.facts.classIndex = 1;
-      call.facts.left = 900ms;
-      call.facts.key = 5;
-      call.facts.hasKey = true;
+      call.externalId = name;
+      call.attributes.classIndex = 1;
+      call.attributes.timeRemaining = 900ms;
+      call.attributes.key = 5;
+      call.attributes.hasKey = true;
       upstream.deadlines[name] = runtime.at + 900ms;
-      engine->take(std::move(call), sink, ++ticket);
+      engine->accept(std::move(call), sink, ++ticket);
     }
     const CallId again = take(2, "keyed");
     upstream.end({again, 0}, Outcome::reset);
     const CallId before = take(0, "within", 400ms);
     ASSERT_EQ(upstream.started["sent"], 1);
     ASSERT_EQ(upstream.started["in turn"], 0);
-    engine->endCallsBeyond(runtime.at + 500ms);
-    const auto verdict = [&](std::uint64_t of) { return sink.replies[of].at(0).verdict; };
+    engine->failCallsPast(runtime.at + 500ms);
+    const auto verdict = [&](std::uint64_t of) { return sink.replies[of].at(0).status; };
     ASSERT_EQ(sink.replies.size(), 3u);
-    EXPECT_EQ(verdict(1), Verdict::failed) << "it may run";
-    EXPECT_EQ(verdict(2), Verdict::refused) << "it was never sent";
-    EXPECT_EQ(verdict(3), Verdict::failed) << "its first attempt may have run";
-    EXPECT_EQ(engine->unanswered(), 1u);
+    EXPECT_EQ(verdict(1), ReplyStatus::failed) << "it may run";
+    EXPECT_EQ(verdict(2), ReplyStatus::rejected) << "it was never sent";
+    EXPECT_EQ(verdict(3), ReplyStatus::failed) << "its first attempt may have run";
+    EXPECT_EQ(engine->awaitingReply(), 1u);
     const auto started = upstream.started;
     for (const AttemptKey key : upstream.open())
       if (key.call != before) upstream.end(key, Outcome::reset);
     EXPECT_EQ(upstream.started, started);
     upstream.end({before, 0}, Outcome::served);
-    EXPECT_EQ(verdict(4), Verdict::served) << "it had no time beyond";
-    EXPECT_EQ(engine->openCalls(), 0u);
+    EXPECT_EQ(verdict(4), ReplyStatus::ok) << "it had no time beyond";
+    EXPECT_EQ(engine->activeCalls(), 0u);
     for (const auto& [of, replies] : sink.replies) EXPECT_EQ(replies.size(), 1u);
   }
 }
@@ -246,53 +248,53 @@
       upstream.withdrawn.clear();
       upstream.endCancelled = false;
       upstream.unwritten = true;
-      ochrehill::Settings with = settings(7);
-      with.cancel = cancel;
+      policy::Settings with = settings(7);
+      with.cancelAllowed = cancel;
       start(with);
       const CallId id = take(cls, "a");
-      engine->abandon(id);
+      engine->clientDisconnected(id);
       ASSERT_EQ(upstream.withdrawn.size(), 1u);
       EXPECT_EQ(upstream.withdrawn[0], (AttemptKey{id, 0}));
-      EXPECT_EQ(engine->openCalls(), 0u);
+      EXPECT_EQ(engine->activeCalls(), 0u);
       EXPECT_EQ(upstream.started["a"], 1) << "and none is begun in its place";
       upstream.started.clear();
     }
 }
 
 TEST_F(EngineTest, AnAttemptThatIsWrittenGoesOnWhereItMayNotBeCancelled) {
-  ochrehill::Settings with = settings(7);
-  with.cancel = false;
+  policy::Settings with = settings(7);
+  with.cancelAllowed = false;
   start(with);
   const CallId id = take(1, "a");
-  engine->abandon(id);
+  engine->clientDisconnected(id);
   EXPECT_TRUE(upstream.cancels.empty());
-  EXPECT_EQ(engine->openCalls(), 1u) << "its name stays taken";
+  EXPECT_EQ(engine->activeCalls(), 1u) << "its name stays taken";
   upstream.end({id, 0}, Outcome::served);
-  EXPECT_EQ(engine->openCalls(), 0u);
+  EXPECT_EQ(engine->activeCalls(), 0u);
   EXPECT_TRUE(sink.replies.empty());
 }
 
 // The second attempt of the later ones may have run too: the window counts from the first.
 TEST_F(EngineTest, AKeyedCallThatMayHaveRunIsWrittenOnlyWithinItsWindowFromThatAttempt) {
-  ochrehill::Settings with = settings(7);
-  with.classes[2].window = 300ms;
+  policy::Settings with = settings(7);
+  with.classes[2].dedupWindow = 300ms;
   start(with);
   const CallId id = take(2, "a");
-  EXPECT_EQ(upstream.out[id].at(0).limits.written, Duration::max()) << "nothing has run";
+  EXPECT_EQ(upstream.out[id].at(0).limits.write, Duration::max()) << "nothing has run";
   pass(40ms);
   upstream.end({id, 0}, Outcome::connectFailed);
   ASSERT_EQ(upstream.started["a"], 2);
-  EXPECT_EQ(upstream.out[id].at(1).limits.written, Duration::max()) << "nor now";
+  EXPECT_EQ(upstream.out[id].at(1).limits.write, Duration::max()) << "nor now";
   pass(100ms);
   upstream.end({id, 1}, Outcome::reset);
   ASSERT_EQ(upstream.started["a"], 3);
-  const Duration left = upstream.out[id].at(2).limits.written;
+  const Duration left = upstream.out[id].at(2).limits.write;
   EXPECT_LT(left, 200ms) << "from the start of the attempt that may have run";
   EXPECT_GT(left, 180ms);
   pass(50ms);
   upstream.end({id, 2}, Outcome::reset);
   ASSERT_EQ(upstream.started["a"], 4);
-  EXPECT_EQ(upstream.out[id].at(3).limits.written, left - 50ms) << "not from the later one";
+  EXPECT_EQ(upstream.out[id].at(3).limits.write, left - 50ms) << "not from the later one";
   pass(160ms);
   upstream.end({id, 3}, Outcome::connectFailed);
   EXPECT_EQ(upstream.started["a"], 4) << "the window is over";
@@ -315,22 +317,22 @@
   take(0, "safe");
   pass(900ms);
   ASSERT_EQ(sink.replies[1].size(), 1u);
-  EXPECT_EQ(sink.replies[1][0].verdict, Verdict::failed) << "it may have run";
+  EXPECT_EQ(sink.replies[1][0].status, ReplyStatus::failed) << "it may have run";
   ASSERT_EQ(sink.replies[2].size(), 1u);
-  EXPECT_EQ(sink.replies[2][0].verdict, Verdict::refused);
+  EXPECT_EQ(sink.replies[2][0].status, ReplyStatus::rejected);
   EXPECT_EQ(upstream.started["unsafe"], 1);
 }
 
 TEST_F(EngineTest, TwoAttemptsOfACallNeverOverlapThoughTheModuleWereToldToTry) {
-  ochrehill::Settings s = settings(7);
-  s.parallelTries = true;  // a second copy when the first is slow
+  policy::Settings s = settings(7);
+  s.hedging = true;  // a second copy when the first is slow
   engine = std::make_unique<Engine>(s, runtime, upstream);
   upstream.engine = engine.get();
   upstream.runtime = &runtime;
-  ochrehill::HostEntry a, b;
+  policy::EndpointInfo a, b;
   a.address = "a";
   b.address = "b";
-  engine->tellHosts(ListKind::replace, {a, b});
+  engine->updateEndpoints(EndpointListKind::replace, {a, b});
   for (int i = 0; i < 20; ++i) upstream.end({take(0, "quick" + std::to_string(i)), 0}, Outcome::served);
   const CallId slow = take(0, "slow");
   pass(200ms);  // many times the usual
@@ -339,8 +341,8 @@
   EXPECT_EQ(upstream.started["slow"], 1);
   upstream.end({slow, 0}, Outcome::served);
   ASSERT_EQ(sink.replies[ticket].size(), 1u);
-  EXPECT_EQ(sink.replies[ticket][0].verdict, Verdict::served);
-  EXPECT_EQ(engine->openCalls(), 0u);
+  EXPECT_EQ(sink.replies[ticket][0].status, ReplyStatus::ok);
+  EXPECT_EQ(engine->activeCalls(), 0u);
 }
 
 TEST_F(EngineTest, AReplyMayHandInTheNextCallFromWithin) {
@@ -352,7 +354,7 @@
   };
   take(0, "first");
   EXPECT_EQ(sink.replies.size(), 51u);
-  EXPECT_EQ(engine->openCalls(), 0u);
+  EXPECT_EQ(engine->activeCalls(), 0u);
 }
 
 // Random events of all kinds. Whatever happens: each call has one reply, or none if abandoned; no attempts of
@@ -365,16 +367,17 @@
   const auto below = [&](std::uint64_t n) { return random() % n; };
   upstream.endCancelled = GetParam() % 2 == 0;
   upstream.unwritten = GetParam() % 5 == 0;
-  ochrehill::Settings with = settings(random());
-  with.cancel = GetParam() % 4 != 1;
-  with.classes[2].window = GetParam() % 3 == 1 ? 150ms : 2000ms;
+  policy::Settings with = settings(random());
+  with.cancelAllowed = GetParam() % 4 != 1;
+  with.classes[2].dedupWindow = GetParam() % 3 == 1 ? 150ms : 2000ms;
   start(with, 4);
-  const std::vector<Outcome> ends{Outcome::served, Outcome::error,         Outcome::full,  Outcome::timeout,
-                                  Outcome::reset,  Outcome::connectFailed, Outcome::served};
+  const std::vector<Outcome> ends{Outcome::served,  Outcome::error, Outcome::overloaded,
+                                  Outcome::timeout, Outcome::reset, Outcome::connectFailed,
+                                  Outcome::served};
   if (GetParam() % 3 == 0)
     upstream.atOnce = [&]() -> std::optional<Outcome> {
       if (below(4)) return std::nullopt;
-      return below(2) ? Outcome::connectFailed : Outcome::full;
+      return below(2) ? Outcome::connectFailed : Outcome::overloaded;
     };
   std::map<CallId, std::uint64_t> taken;
   std::set<std::uint64_t> abandoned;
@@ -402,11 +405,11 @@
         const Outcome outcome = ends[below(ends.size())];
         const std::string name = upstream.out[key.call].at(key.attempt).name;
         const int before = upstream.started[name];
-        const bool mayHaveRun = outcome != Outcome::full && outcome != Outcome::connectFailed;
+        const bool mayHaveRun = outcome != Outcome::overloaded && outcome != Outcome::connectFailed;
         if (mayHaveRun) ranOnce[name] = true;
         if (mayHaveRun && name[0] == '2')
           upstream.windowEnd.emplace(name,
-                                     upstream.out[key.call].at(key.attempt).at + with.classes[2].window);
+                                     upstream.out[key.call].at(key.attempt).at + with.classes[2].dedupWindow);
         upstream.end(key, outcome);
         if (name[0] == '1' && ranOnce[name]) EXPECT_EQ(upstream.started[name], before) << name;
         break;
@@ -417,11 +420,11 @@
         std::advance(it, static_cast<std::ptrdiff_t>(below(taken.size())));
         if (!sink.replies.count(it->second) && abandoned.insert(it->second).second)
           startedWhenLeft[names[it->first]] = upstream.started[names[it->first]];
-        engine->abandon(it->first);
+        engine->clientDisconnected(it->first);
         break;
       }
       case 7: pass(std::chrono::milliseconds(below(40))); break;
-      case 8: engine->endCallsBeyond(runtime.at + std::chrono::milliseconds(below(4000)));
+      case 8: engine->failCallsPast(runtime.at + std::chrono::milliseconds(below(4000)));
     }
   }
   pass(2s);
@@ -433,7 +436,7 @@
   for (const auto& [name, started] : startedWhenLeft)
     EXPECT_EQ(upstream.started[name], started) << name << " was started after its client had left";
   EXPECT_EQ(engine->violations(), 0u) << "the module asked for nothing that had to be held back";
-  EXPECT_EQ(engine->openCalls(), 0u);
+  EXPECT_EQ(engine->activeCalls(), 0u);
   for (const auto& [id, t] : taken)
     EXPECT_EQ(sink.replies.count(t) ? sink.replies[t].size() : 0u, abandoned.count(t) ? 0u : 1u) << t;
 }
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -1,7 +1,7 @@
 // The client of discovery before a scripted one on loopback, which acts at named calls: watches that break in
 // silence, tries that fail in every way, moves, agents that push. Calls are numbered from 0 in the order in
 // which discovery read them.
-#include "discovery/discovery.hpp"
+#include "discovery/discovery_client.hpp"
 
 #include <gtest/gtest.h>
 
@@ -32,20 +32,20 @@
   std::function<void(std::size_t, PeerConnection&)> act = [](std::size_t, PeerConnection&) {};
   // Another one for each start, so that nothing of the one before is taken for a call of the next.
   std::vector<std::unique_ptr<Peer>> peers;
-  Discovery::Waits waits = quick();
-  Discovery::Mode mode = Discovery::Mode::asked;
-  std::unique_ptr<Discovery> discovery;
-  std::vector<HostList> told;
+  DiscoveryClient::Timeouts waits = quick();
+  DiscoveryClient::ListSource mode = DiscoveryClient::ListSource::polled;
+  std::unique_ptr<DiscoveryClient> discovery;
+  std::vector<EndpointList> told;
   int failed = 0, verifyFailed = 0, tryFailed = 0;
 
   // Watches break at once, and nothing else ends by its time unless a test shortens it.
-  static Discovery::Waits quick() {
-    Discovery::Waits waits;
-    waits.watchLeast = waits.watchMost = 30ms;
-    waits.late = 10ms;
-    waits.watchOver = waits.answer = waits.connect = 60s;
-    waits.retryFirst = 1ms;
-    waits.retryMost = 4ms;
+  static DiscoveryClient::Timeouts quick() {
+    DiscoveryClient::Timeouts waits;
+    waits.watchMin = waits.watchMax = 30ms;
+    waits.watchGrace = 10ms;
+    waits.staleWatchLinger = waits.response = waits.connect = 60s;
+    waits.retryInitialBackoff = 1ms;
+    waits.retryMaxBackoff = 4ms;
     return waits;
   }
   void start(std::optional<std::int64_t> version = 1) {
@@ -58,12 +58,12 @@
       calls.push_back({c.shared_from_this(), c.request.target().to_string()});
       act(calls.size() - 1, c);
     }));
-    discovery = std::make_unique<Discovery>(
+    discovery = std::make_unique<DiscoveryClient>(
         io, peers.back()->endpoint,
-        Discovery::Callbacks{[this](const HostList& l) { told.push_back(l); }, [this] { ++failed; },
-                             [this] { ++verifyFailed; }, [this] { ++tryFailed; }},
+        DiscoveryClient::Callbacks{[this](const EndpointList& l) { told.push_back(l); }, [this] { ++failed; },
+                                   [this] { ++verifyFailed; }, [this] { ++tryFailed; }},
         waits, mode);
-    if (version) discovery->knows(*version);
+    if (version) discovery->setKnownVersion(*version);
     discovery->watch();
   }
   ::testing::AssertionResult called(std::size_t n) {
@@ -71,8 +71,8 @@
   }
   std::set<std::string> namesTold() const {
     std::set<std::string> names;
-    for (const HostList& list : told)
-      for (const ListedHost& host : list.hosts) names.insert(host.uid);
+    for (const EndpointList& list : told)
+      for (const DiscoveredEndpoint& host : list.endpoints) names.insert(host.uid);
     return names;
   }
 };
@@ -131,8 +131,8 @@
 }
 
 TEST_F(DiscoveryTest, TriesThatAreSilentEndByTheirTimeAndTheListIsStaleTillOneIsAnswered) {
-  waits.answer = 20ms;
-  waits.watchOver = 20ms;
+  waits.response = 20ms;
+  waits.staleWatchLinger = 20ms;
   bool stale = true;
   act = [&](std::size_t n, PeerConnection& c) {
     if (n == 0) c.reply(listText(1, false));
@@ -216,12 +216,12 @@
   tcp::socket filler(io);
   filler.connect(full.local_endpoint());
   waits.connect = 20ms;
-  discovery =
-      std::make_unique<Discovery>(io, full.local_endpoint(),
-                                  Discovery::Callbacks{[this](const HostList& l) { told.push_back(l); },
-                                                       [this] { ++failed; }, [] {}, [this] { ++tryFailed; }},
-                                  waits);
-  discovery->knows(1);
+  discovery = std::make_unique<DiscoveryClient>(
+      io, full.local_endpoint(),
+      DiscoveryClient::Callbacks{[this](const EndpointList& l) { told.push_back(l); }, [this] { ++failed; },
+                                 [] {}, [this] { ++tryFailed; }},
+      waits);
+  discovery->setKnownVersion(1);
   discovery->watch();
   ASSERT_TRUE(until([&] { return tryFailed >= 3; }));
   EXPECT_EQ(failed, 0);
@@ -241,8 +241,8 @@
 }
 
 TEST_F(DiscoveryTest, WaitsAreDrawnAnewForEachCallBetweenTheirBounds) {
-  waits.watchLeast = 1000ms;
-  waits.watchMost = 2000ms;
+  waits.watchMin = 1000ms;
+  waits.watchMax = 2000ms;
   act = [](std::size_t, PeerConnection& c) { c.reply(listText(1, false)); };
   start();
   ASSERT_TRUE(called(60));
@@ -261,7 +261,7 @@
   for (const auto& [name, fail] : kFailures)
     for (std::size_t at = 0; at < 3; ++at) {
       SCOPED_TRACE(name + " at call " + std::to_string(at));
-      waits.watchLeast = waits.watchMost = 60s;
+      waits.watchMin = waits.watchMax = 60s;
       act = [&, broken = fail](std::size_t n, PeerConnection& c) {
         if (n == at) broken(c);
         else if (n < at) c.reply(listText(1, false));
@@ -306,7 +306,7 @@
 // ------------------------------------------------------------------------------------------------
 
 TEST_F(DiscoveryTest, VerifyingIsOneTryAndLeavesAWatchThatItDoesNotDisprove) {
-  waits.watchLeast = waits.watchMost = 60s;
+  waits.watchMin = waits.watchMax = 60s;
   act = [](std::size_t n, PeerConnection& c) {
     if (n == 0) c.reply(listText(1, false));
     if (n == 2) c.reply(answerText(503, "", ""));
@@ -315,15 +315,15 @@
   };
   start();
   ASSERT_TRUE(called(2));
-  discovery->verify();
-  discovery->verify();
+  discovery->refresh();
+  discovery->refresh();
   ASSERT_TRUE(until([&] { return verifyFailed == 1; }));
   EXPECT_EQ(calls.size(), 3u) << "one call, however often it is asked for";
-  discovery->verify();
+  discovery->refresh();
   ASSERT_TRUE(until([&] { return calls.size() == 4 && calls[3].on->closedByPeer; }));
   EXPECT_EQ(told.size(), 1u) << "nothing new";
   EXPECT_FALSE(calls[1].on->closedByPeer);
-  discovery->verify();
+  discovery->refresh();
   ASSERT_TRUE(called(6));
   EXPECT_EQ(namesTold(), std::set<std::string>{"s-5"});
   EXPECT_EQ(calls[5].on, calls[4].on);
@@ -379,7 +379,7 @@
 }
 
 TEST_F(MovingDiscovery, TheOldWatchIsHeardMeanwhileAndItsEndAsksNobody) {
-  waits.watchLeast = waits.watchMost = 60s;
+  waits.watchMin = waits.watchMax = 60s;
   act = [](std::size_t n, PeerConnection& c) {
     if (n == 0) c.reply(listText(1, false));
   };
@@ -399,7 +399,7 @@
 }
 
 TEST_F(MovingDiscovery, OneThatIsStoppedGoesOnAtTheNewServer) {
-  waits.watchLeast = waits.watchMost = 60s;
+  waits.watchMin = waits.watchMax = 60s;
   act = [](std::size_t n, PeerConnection& c) {
     if (n == 0) c.reply(listText(1, false));
   };
@@ -417,11 +417,11 @@
 // --- Pushed -----------------------------------------------------------------------------------------------
 
 TEST_F(DiscoveryTest, AnAgentIsAskedAgainWhateverEndsTheWatch) {
-  mode = Discovery::Mode::pushed;
+  mode = DiscoveryClient::ListSource::pushed;
   for (const auto& [name, fail] : kFailures)
     for (std::size_t at = 0; at < 3; ++at) {
       SCOPED_TRACE(name + " at call " + std::to_string(at));
-      waits.watchLeast = waits.watchMost = 60s;
+      waits.watchMin = waits.watchMax = 60s;
       act = [&, broken = fail](std::size_t n, PeerConnection& c) {
         if (n >= at && n < at + 3) broken(c);
         else if (n < at) c.reply(listText(1, false));
@@ -434,8 +434,8 @@
 }
 
 TEST_F(DiscoveryTest, AnAgentThatIsSilentForAWhileIsHeardWhenItIsBack) {
-  mode = Discovery::Mode::pushed;
-  waits.answer = 20ms;
+  mode = DiscoveryClient::ListSource::pushed;
+  waits.response = 20ms;
   act = [](std::size_t n, PeerConnection& c) {
     if (n == 8) c.reply(listText(2, false, {"s-2"}));  // the calls before it are never answered
   };
@@ -446,19 +446,19 @@
 }
 
 TEST(DiscoveryWaits, AnAgentThatIsBackIsAskedWithinAQuarterOfASecond) {
-  const Discovery::Waits waits = Discovery::Waits{}.forAgent();
-  EXPECT_LE(waits.connect, waits.answer);
-  EXPECT_LT(waits.answer + waits.retryMost + waits.retryMost / 2, 250ms);
+  const DiscoveryClient::Timeouts waits = DiscoveryClient::Timeouts{}.forAgent();
+  EXPECT_LE(waits.connect, waits.response);
+  EXPECT_LT(waits.response + waits.retryMaxBackoff + waits.retryMaxBackoff / 2, 250ms);
 }
 
 // A watch that breaks in silence in any moment of its life is found out, and a try that is turned away leaves
 // time for others, before what it misses counts as told: 6 s after its silence, or 2 s past its wait.
 TEST(DiscoveryWaits, ThereIsTimeForTriesBeforeWhatASilentWatchMissesCountsAsTold) {
-  const Discovery::Waits waits;
-  const auto told = std::max<std::chrono::milliseconds>(6s, waits.watchMost + 2s);
-  const auto foundOut = waits.watchMost + waits.late;
+  const DiscoveryClient::Timeouts waits;
+  const auto told = std::max<std::chrono::milliseconds>(6s, waits.watchMax + 2s);
+  const auto foundOut = waits.watchMax + waits.watchGrace;
   EXPECT_GE(told - foundOut, 3s) << "three calls of a discovery that works through one a second";
-  EXPECT_GE(told - foundOut, waits.answer + waits.retryFirst * 3 / 2 + 1s)
+  EXPECT_GE(told - foundOut, waits.response + waits.retryInitialBackoff * 3 / 2 + 1s)
       << "one that is silent, and another";
 }
 
--- a/tests/embed/main.cpp
+++ b/tests/embed/main.cpp
@@ -1,31 +1,31 @@
 // The example of the README, kept the same by .ci/run.
+#include <cairnjunction/load_balancer.hpp>
 #include <cstdio>
-#include <ochrehill/ochrehill.hpp>
 
 int main() {
   using namespace std::chrono_literals;
-  ochrehill::Settings settings;
+  cairnjunction::policy::Settings settings;
   settings.seed = 42;
-  ochrehill::ClassSettings reads;
+  cairnjunction::policy::ClassSettings reads;
   reads.name = "read";
-  reads.effect = ochrehill::Effect::retryable;
-  reads.aim = 200ms;
-  reads.giveUp = 1s;
+  reads.idempotency = cairnjunction::policy::Idempotency::safe;
+  reads.latencyObjective = 200ms;
+  reads.clientTimeout = 1s;
   settings.classes = {reads};
 
-  ochrehill::Balancer balancer(settings, 0ns);  // throws std::invalid_argument on nonsense
-  ochrehill::HostEntry host;
-  host.address = "10.0.0.1:8080";
-  balancer.onHosts(0ns, ochrehill::ListKind::replace, {host});
+  cairnjunction::policy::LoadBalancer balancer(settings, 0ns);  // throws std::invalid_argument on nonsense
+  cairnjunction::policy::EndpointInfo endpoint;
+  endpoint.address = "10.0.0.1:8080";
+  balancer.onEndpoints(0ns, cairnjunction::policy::EndpointListKind::replace, {endpoint});
 
-  ochrehill::Request request;
+  cairnjunction::policy::Request request;
   request.id = 1;
   request.classIndex = 0;
-  request.left = 1s;
+  request.timeRemaining = 1s;
   balancer.onRequest(1ms, request);
-  for (const ochrehill::Action& action : balancer.actions())
-    if (action.kind == ochrehill::ActionKind::send)
+  for (const cairnjunction::policy::Action& action : balancer.actions())
+    if (action.kind == cairnjunction::policy::ActionKind::send)
       std::printf("send %llu to %s\n", static_cast<unsigned long long>(action.request),
-                  balancer.address(action.host).c_str());
+                  balancer.address(action.endpoint).c_str());
   balancer.actions().clear();
 }
--- a/tests/fleet/keepers_test.cpp
+++ b/tests/fleet/coordinators_test.cpp
@@ -17,31 +17,31 @@
   for (const char* name : {"a", "b", "c"}) join(name);
   ASSERT_TRUE(until([&] { return !owner(list).empty(); }));
   std::string first = owner(list);
-  ASSERT_TRUE(
-      until([&] { return members["a"]->joined() && members["b"]->joined() && members["c"]->joined(); }));
-  EXPECT_TRUE(members[first]->order(list, "hosts", true));
+  ASSERT_TRUE(until(
+      [&] { return members["a"]->hasJoined() && members["b"]->hasJoined() && members["c"]->hasJoined(); }));
+  EXPECT_TRUE(members[first]->sendCommand(list, "hosts", true));
   for (const auto& [name, member] : members) {
     ASSERT_TRUE(until([&, n = name] { return seen[n].orders.size() == 1; })) << name;
-    if (name != first) EXPECT_FALSE(member->order(list, "not mine", true));
+    if (name != first) EXPECT_FALSE(member->sendCommand(list, "not mine", true));
   }
   // One that joins later is told the last order; one that stops hands over without waiting for a lease.
   join("d");
   ASSERT_TRUE(until([&] { return seen["d"].orders.size() == 1; }));
   bool left = false;
-  const duty::Time asked = fleet::bootTime();
+  const lease::Time asked = fleet::bootTime();
   members[first]->leave([&] { left = true; });
-  EXPECT_FALSE(members[first]->order(list, "late", true));
+  EXPECT_FALSE(members[first]->sendCommand(list, "late", true));
   ASSERT_TRUE(until([&] { return left; }));
   members.erase(first);
   ASSERT_TRUE(until([&] { return !owner(list).empty(); }));
   RecordProperty("hand_over_ms", std::to_string((fleet::bootTime() - asked).count()));
   const std::string second = owner(list);
-  EXPECT_GT(members[second]->fence().marks().at(list).epoch + 1, 1u);
+  EXPECT_GT(members[second]->fencingGate().marks().at(list).epoch + 1, 1u);
   // One that vanishes is followed when its lease has ended, under another epoch.
   members.erase(second);
   ASSERT_TRUE(until([&] { return !owner(list).empty(); }));
-  EXPECT_TRUE(members[owner(list)]->order(list, "third", true));
-  EXPECT_GE(seen[owner(list)].orders.back().id.epoch, 3u);
+  EXPECT_TRUE(members[owner(list)]->sendCommand(list, "third", true));
+  EXPECT_GE(seen[owner(list)].orders.back().token.epoch, 3u);
 }
 
 // A member with a disk that starts again holds nothing of the last order's effect: it is told that one once
@@ -52,8 +52,8 @@
   ASSERT_TRUE(until([&] { return owner(list) == "a"; }));
   const std::string disk = "[member]\nwilling = false\ndisk = \"" + dir + "\"\n";
   join("b", disk);
-  ASSERT_TRUE(until([&] { return members["b"]->joined(); }));
-  for (const char* body : {"first", "second"}) EXPECT_TRUE(members["a"]->order(list, body, true));
+  ASSERT_TRUE(until([&] { return members["b"]->hasJoined(); }));
+  for (const char* body : {"first", "second"}) EXPECT_TRUE(members["a"]->sendCommand(list, body, true));
   ASSERT_TRUE(until([&] { return seen["b"].orders.size() == 2; }));
   members.erase("b");
   join("b", disk);
@@ -66,16 +66,16 @@
 TEST_F(FleetTest, LeadersKilledInTurnLoseNothing) {
   startKeepers();
   for (const char* name : {"a", "b", "c"}) join(name);
-  duty::Epoch last = 0;
+  lease::Epoch last = 0;
   for (int round = 0; round < 4; ++round) {
     std::size_t had = seen["a"].orders.size();
     ASSERT_TRUE(until([&] {
       const std::string who = owner(list);
-      if (!who.empty()) members[who]->order(list, std::to_string(round), true);
+      if (!who.empty()) members[who]->sendCommand(list, std::to_string(round), true);
       return seen["a"].orders.size() > had;
     }));
-    EXPECT_GE(seen["a"].orders.back().id.epoch, last);
-    last = seen["a"].orders.back().id.epoch;
+    EXPECT_GE(seen["a"].orders.back().token.epoch, last);
+    last = seen["a"].orders.back().token.epoch;
     ASSERT_TRUE(until([&] { return leader() != 0; }));
     const int number = leader();
     keepers[number]->end(SIGKILL);
@@ -89,10 +89,10 @@
   for (const char* name : {"a", "b"}) join(name);
   ASSERT_TRUE(until([&] { return !owner(list).empty(); }));
   for (int number : {1, 2}) keepers[number]->end(SIGKILL);
-  ASSERT_TRUE(until([&] { return members["a"]->alone() && members["b"]->alone(); }));
+  ASSERT_TRUE(until([&] { return members["a"]->isIsolated() && members["b"]->isIsolated(); }));
   EXPECT_EQ(owner(list), "") << "a lease ends by the owner's own clock";
   startKeeper(1);
-  ASSERT_TRUE(until([&] { return !owner(list).empty() && !members["a"]->alone(); }));
+  ASSERT_TRUE(until([&] { return !owner(list).empty() && !members["a"]->isIsolated(); }));
 }
 
 TEST_F(FleetTest, DutiesAreSpreadOverWhoeverJoins) {
@@ -114,10 +114,10 @@
   ASSERT_TRUE(until([&] { return seen["steady"].owns.count(list) == 1; }));
   for (int i = 0; i < 10; ++i) {
     join("dies");
-    ASSERT_TRUE(until([&] { return members["dies"]->joined(); }));
+    ASSERT_TRUE(until([&] { return members["dies"]->hasJoined(); }));
     if (i < 3) {  // it is given one when others give it back
-      for (const duty::Key& key : std::set<duty::Key>(seen["steady"].owns))
-        members["steady"]->giveBack(key, false);
+      for (const lease::LeaseKey& key : std::set<lease::LeaseKey>(seen["steady"].owns))
+        members["steady"]->release(key, false);
       ASSERT_TRUE(until([&] { return seen["steady"].owns.size() + seen["dies"].owns.size() >= 5; }));
     }
     members.erase("dies");
@@ -206,19 +206,20 @@
   join("a");
   ASSERT_TRUE(until([&] { return !owner(list).empty(); }));
   join("foreign", "", "other");
-  ASSERT_TRUE(until(
-      [&] { return members["foreign"]->lastEnd().find("a member of fleet 'other'") != std::string::npos; }));
+  ASSERT_TRUE(until([&] {
+    return members["foreign"]->lastLinkEnd().find("a member of fleet 'other'") != std::string::npos;
+  }));
   // A second process of one name, while the first is there; and once that has gone.
   auto first = std::move(members["a"]);
   join("a");
-  ASSERT_TRUE(
-      until([&] { return members["a"]->lastEnd().find("in use by another process") != std::string::npos; }));
+  ASSERT_TRUE(until(
+      [&] { return members["a"]->lastLinkEnd().find("in use by another process") != std::string::npos; }));
   first.reset();
-  ASSERT_TRUE(until([&] { return members["a"]->joined(); }));
+  ASSERT_TRUE(until([&] { return members["a"]->hasJoined(); }));
   // A process of another version, in its own words.
   tcp::socket other(io);
   other.connect({asio::ip::make_address("127.0.0.1"), ports[static_cast<std::size_t>(leader() - 1)]});
-  asio::write(other, asio::buffer(*fleet::encode(fleet::Hello{99, "yard", {"new", 1}, "", true})));
+  asio::write(other, asio::buffer(*fleet::encode(fleet::JoinRequest{99, "yard", {"new", 1}, "", true})));
   std::string told;
   bool closed = false;
   asio::async_read(other, asio::dynamic_buffer(told), [&](error_code, std::size_t) { closed = true; });
@@ -227,7 +228,7 @@
   // Bytes that are no frame: of every length a header may claim, and a word of another kind.
   for (const std::string& bytes :
        {std::string(1000, '\xff'), std::string("GET / HTTP/1.1\r\n\r\n"), std::string(64, '\0'),
-        *fleet::encode(fleet::Beat{}), *fleet::encode(fleet::Welcome{})}) {
+        *fleet::encode(fleet::Heartbeat{}), *fleet::encode(fleet::JoinResponse{})}) {
     tcp::socket socket(io);
     socket.connect({asio::ip::make_address("127.0.0.1"), ports[static_cast<std::size_t>(leader() - 1)]});
     asio::write(socket, asio::buffer(bytes));
@@ -242,7 +243,7 @@
     read();
     ASSERT_TRUE(until([&] { return over; })) << "closed, by its name or by silence";
   }
-  EXPECT_TRUE(members["a"]->joined());
+  EXPECT_TRUE(members["a"]->hasJoined());
 }
 
 }  // namespace
--- a/tests/fleet/parts_test.cpp
+++ b/tests/fleet/parts_test.cpp
@@ -5,8 +5,8 @@
 #include <random>
 
 #include "fleet/boot_clock.hpp"
+#include "fleet/endpoint_list_filter.hpp"
 #include "fleet/link.hpp"
-#include "fleet/list_rules.hpp"
 #include "fleet/settings.hpp"
 #include "net_peers.hpp"
 
@@ -54,18 +54,18 @@
 }
 
 std::vector<Message> oneOfEach() {
-  const duty::Key key{"list", 2};
-  return {fleet::Hello{1, "yard", {"n0", 7}, "z", true},
-          fleet::KeeperHello{1, "yard", 2, {9, 3}},
-          fleet::KeeperAnswer{2, {9, 3}, "why"},
-          fleet::Welcome{1, 5, {{key, {4, 3, {}}}}},
-          fleet::Elsewhere{3},
-          fleet::TurnedAway{"no"},
-          fleet::Beat{123, {{key, 4, 3}}},
-          fleet::Pulse{5, {{key, 4, 3, 123, 3000}}, {{key, 4}}},
-          fleet::GiveBack{key, 4, true},
-          fleet::HandOver{key, 4},
-          fleet::Order{{key, 4, 3, {"n0", 7}}, true, std::string(1000, 'x')},
+  const lease::LeaseKey key{"list", 2};
+  return {fleet::JoinRequest{1, "yard", {"n0", 7}, "z", true},
+          fleet::VoterHandshakeRequest{1, "yard", 2, {9, 3}},
+          fleet::VoterHandshakeResponse{2, {9, 3}, "why"},
+          fleet::JoinResponse{1, 5, {{key, {4, 3, {}}}}},
+          fleet::NotLeader{3},
+          fleet::JoinRejected{"no"},
+          fleet::Heartbeat{123, {{key, 4, 3}}},
+          fleet::HeartbeatResponse{5, {{key, 4, 3, 123, 3000}}, {{key, 4}}},
+          fleet::ReleaseLease{key, 4, true},
+          fleet::TransferLease{key, 4},
+          fleet::Command{{key, 4, 3, {"n0", 7}}, true, std::string(1000, 'x')},
           fleet::Leave{}};
 }
 
@@ -86,7 +86,8 @@
       }
     }
   }
-  EXPECT_THROW(fleet::encode(fleet::Order{{}, false, std::string(fleet::kFrameMost, 'x')}), fleet::BadFrame);
+  EXPECT_THROW(fleet::encode(fleet::Command{{}, false, std::string(fleet::kFrameMost, 'x')}),
+               fleet::BadFrame);
 }
 
 class LinkTest : public LoopTest {
@@ -110,7 +111,7 @@
   }
   void TearDown() override {
     for (const auto& link : {near, far})
-      if (link) link->drop();
+      if (link) link->abandon();
     io.restart();
     io.poll();
   }
@@ -119,11 +120,11 @@
 TEST_F(LinkTest, EachEndHasItsName) {
   near = fleet::Link::dial(io, {asio::ip::make_address("127.0.0.1"), 1}, limits, callbacks(nearEnd));
   ASSERT_TRUE(until([&] { return nearEnd.has_value(); }));
-  EXPECT_EQ(*nearEnd, LinkEnd::refused);
+  EXPECT_EQ(*nearEnd, LinkEnd::connectionRefused);
   nearEnd.reset();
   connect();
   ASSERT_TRUE(until([&] { return nearEnd && farEnd; })) << "nobody says a word";
-  EXPECT_TRUE(*nearEnd == LinkEnd::silent || *farEnd == LinkEnd::silent);
+  EXPECT_TRUE(*nearEnd == LinkEnd::receiveTimeout || *farEnd == LinkEnd::receiveTimeout);
   nearEnd.reset(), farEnd.reset();
   connect();
   near->send(fleet::Leave{});
@@ -135,7 +136,7 @@
 
 // A raw peer: sends what a link never would, cut at every byte of a frame.
 TEST_F(LinkTest, BytesThatAreCutOffOrWrongEndTheLinkByName) {
-  const std::string frame = *fleet::encode(fleet::Beat{1, {{{"list", 0}, 4, 3}}});
+  const std::string frame = *fleet::encode(fleet::Heartbeat{1, {{{"list", 0}, 4, 3}}});
   const auto play = [&](const std::string& bytes, bool closes) {
     farEnd.reset();
     tcp::socket raw(io);
@@ -151,7 +152,8 @@
   for (std::size_t n = 0; n < frame.size(); ++n)
     EXPECT_EQ(play(frame.substr(0, n), true), LinkEnd::reset) << n;
   EXPECT_EQ(heard, 0);
-  EXPECT_EQ(play(frame.substr(0, frame.size() - 1), false), LinkEnd::silent) << "half a frame says nothing";
+  EXPECT_EQ(play(frame.substr(0, frame.size() - 1), false), LinkEnd::receiveTimeout)
+      << "half a frame says nothing";
   EXPECT_EQ(play("\xff\xff\xff\xff", false), LinkEnd::badFrame) << "too long";
   EXPECT_EQ(play(std::string("\0\0\0\1x", 5), false), LinkEnd::badFrame);
   EXPECT_EQ(play(std::string("\0\0\0\0", 4), false), LinkEnd::badFrame);
@@ -160,65 +162,65 @@
 TEST_F(LinkTest, APeerThatTakesNothingIsSlow) {
   tcp::socket raw(io);
   acceptor.async_accept([this](error_code, tcp::socket socket) {
-    limits.silent = 60s;
+    limits.receiveTimeout = 60s;
     far = fleet::Link::accepted(io, std::move(socket), limits, callbacks(farEnd));
   });
   raw.connect(acceptor.local_endpoint());
   ASSERT_TRUE(until([&] { return far != nullptr; }));
   for (int i = 0; i < 100 && !farEnd; ++i)
-    far->send(fleet::Order{{{"list", 0}, 1, 1, {"n0", 1}}, false, std::string(1 << 18, 'x')});
+    far->send(fleet::Command{{{"list", 0}, 1, 1, {"n0", 1}}, false, std::string(1 << 18, 'x')});
   ASSERT_TRUE(until([&] { return farEnd.has_value(); }));
-  EXPECT_EQ(*farEnd, LinkEnd::slow);
+  EXPECT_EQ(*farEnd, LinkEnd::sendTimeout);
 }
 
 // --- Rules for lists --------------------------------------------------------------------------------------
 
 TEST(ListRules, NoListUndoesWhatANewerOneTold) {
-  fleet::ListGate gate;
-  EXPECT_TRUE(gate.take({"a", 0, 5}));
-  EXPECT_FALSE(gate.take({"a", 0, 4}));
-  EXPECT_FALSE(gate.take({"b", 0, 4})) << "nor by another way to discovery";
-  EXPECT_TRUE(gate.take({"b", 0, 5}));
-  gate.tell("a", 7);
-  EXPECT_FALSE(gate.take({"b", 0, 6}));
-  gate.tell("a", 2);  // discovery counts anew, by its own word
-  EXPECT_EQ(gate.held()->era, 1u);
-  EXPECT_FALSE(gate.take({"b", 0, 900})) << "of the count before";
-  EXPECT_TRUE(gate.take({"b", 1, 3}));
-  gate.move("a", "c");
-  EXPECT_FALSE(gate.take({"a", 1, 99})) << "of the discovery that was left";
-  gate.tell("c", 50);
-  EXPECT_EQ(gate.held()->era, 2u) << "another count, though its number is higher";
-  EXPECT_FALSE(gate.take({"b", 1, 60}));
-  gate.move("c", "a");
-  EXPECT_TRUE(gate.take({"a", 3, 1}));
-  for (int i = 0; i < 100; ++i) gate.move(std::to_string(i), std::to_string(i + 1));
-  EXPECT_TRUE(gate.take({"3", 9, 1})) << "only the last few are remembered";
+  fleet::EndpointListFilter gate;
+  EXPECT_TRUE(gate.accept({"a", 0, 5}));
+  EXPECT_FALSE(gate.accept({"a", 0, 4}));
+  EXPECT_FALSE(gate.accept({"b", 0, 4})) << "nor by another way to discovery";
+  EXPECT_TRUE(gate.accept({"b", 0, 5}));
+  gate.onOwnList("a", 7);
+  EXPECT_FALSE(gate.accept({"b", 0, 6}));
+  gate.onOwnList("a", 2);  // discovery counts anew, by its own word
+  EXPECT_EQ(gate.held()->epoch, 1u);
+  EXPECT_FALSE(gate.accept({"b", 0, 900})) << "of the count before";
+  EXPECT_TRUE(gate.accept({"b", 1, 3}));
+  gate.onSourceChange("a", "c");
+  EXPECT_FALSE(gate.accept({"a", 1, 99})) << "of the discovery that was left";
+  gate.onOwnList("c", 50);
+  EXPECT_EQ(gate.held()->epoch, 2u) << "another count, though its number is higher";
+  EXPECT_FALSE(gate.accept({"b", 1, 60}));
+  gate.onSourceChange("c", "a");
+  EXPECT_TRUE(gate.accept({"a", 3, 1}));
+  for (int i = 0; i < 100; ++i) gate.onSourceChange(std::to_string(i), std::to_string(i + 1));
+  EXPECT_TRUE(gate.accept({"3", 9, 1})) << "only the last few are remembered";
 }
 
 TEST(ListRules, OnlyTheOwnerAsksAndWhoeverIsAloneAfterItsTurn) {
-  fleet::OwnAsking asking;
-  EXPECT_FALSE(asking.asks(1s));
-  asking.onDuty(true);
-  EXPECT_TRUE(asking.asks(1s));
-  asking.onDuty(false);
+  fleet::FallbackPolling asking;
+  EXPECT_FALSE(asking.shouldPoll(1s));
+  asking.onLeaseChange(true);
+  EXPECT_TRUE(asking.shouldPoll(1s));
+  asking.onLeaseChange(false);
   // Three hundred that are left alone: as many calls a second as discovery takes.
   std::map<std::int64_t, int> second;
   for (int i = 0; i < 300; ++i) {
-    fleet::OwnAsking one;
-    one.onAlone(true, 0s, 300, true, i / 300.0);
-    ++second[one.at()->count() / 1000];
-    EXPECT_TRUE(one.asks(*one.at()));
+    fleet::FallbackPolling one;
+    one.onIsolationChange(true, 0s, 300, true, i / 300.0);
+    ++second[one.pollsAt()->count() / 1000];
+    EXPECT_TRUE(one.shouldPoll(*one.pollsAt()));
   }
   for (const auto& [at, calls] : second) EXPECT_LE(calls, 2) << at;
-  asking.onAlone(true, 1s, 300, false, 1);
-  EXPECT_EQ(*asking.at(), 31s) << "with no list at all it can't wait as long";
-  asking.onAlone(false, 2s, 300, false, 1);
-  EXPECT_FALSE(asking.asks(100s));
-  asking.onPassedOver(2s, 10, 0.5);
-  EXPECT_TRUE(asking.asks(7s));
-  asking.onTaken(false);
-  EXPECT_FALSE(asking.asks(7s));
+  asking.onIsolationChange(true, 1s, 300, false, 1);
+  EXPECT_EQ(*asking.pollsAt(), 31s) << "with no list at all it can't wait as long";
+  asking.onIsolationChange(false, 2s, 300, false, 1);
+  EXPECT_FALSE(asking.shouldPoll(100s));
+  asking.onListRejected(2s, 10, 0.5);
+  EXPECT_TRUE(asking.shouldPoll(7s));
+  asking.onListAccepted(false);
+  EXPECT_FALSE(asking.shouldPoll(7s));
 }
 
 }  // namespace
--- a/tests/fleet/rig.hpp
+++ b/tests/fleet/rig.hpp
@@ -15,7 +15,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/control.hpp"
+#include "fleet/admin_socket.hpp"
 #include "fleet/member.hpp"
 #include "net_peers.hpp"
 
@@ -60,15 +60,15 @@
   std::vector<unsigned short> ports;
   std::vector<std::unique_ptr<ReservedPort>> reserved;  // they are held for as long as the test lasts
   std::map<int, std::unique_ptr<KeeperProcess>> keepers;
-  std::vector<std::unique_ptr<fleet::Journal>> journals;  // outlive the members that write them
+  std::vector<std::unique_ptr<fleet::EventLog>> journals;  // outlive the members that write them
   struct Seen {
-    std::set<duty::Key> owns;
-    std::vector<fleet::Order> orders;
+    std::set<lease::LeaseKey> owns;
+    std::vector<fleet::Command> orders;
     int begun = 0;
   };
   std::map<std::string, Seen> seen;
   std::map<std::string, std::unique_ptr<fleet::Member>> members;
-  const duty::Key list{"list", 0};
+  const lease::LeaseKey list{"list", 0};
 
   void SetUp() override {
     std::filesystem::create_directories(dir);
@@ -111,25 +111,26 @@
                       const std::string& fleet = "yard") {
     const fleet::Settings settings = fleet::parseSettings(fileText(fleet) + extra, "test");
     const auto& journal =
-        journals.emplace_back(std::make_unique<fleet::Journal>(dir + name + ".log", "member", name));
+        journals.emplace_back(std::make_unique<fleet::EventLog>(dir + name + ".log", "member", name));
     Seen& s = seen[name] = {};
     fleet::Member::Events events;
-    events.duty = [&s](const duty::Key& key, bool owns) {
+    events.onLeaseChange = [&s](const lease::LeaseKey& key, bool owns) {
       if (owns) s.owns.insert(key), ++s.begun;
       else s.owns.erase(key);
     };
-    events.order = [&s](const fleet::Order& order) { s.orders.push_back(order); };
+    events.onCommand = [&s](const fleet::Command& order) { s.orders.push_back(order); };
     members[name] = std::make_unique<fleet::Member>(io, settings, name, events, *journal);
     return *members[name];
   }
-  std::string owner(const duty::Key& key) const {  // as members see it; empty: none of ours
+  std::string owner(const lease::LeaseKey& key) const {  // as members see it; empty: none of ours
     for (const auto& [name, member] : members)
-      if (seen.at(name).owns.count(key) && member->owns(key)) return name;
+      if (seen.at(name).owns.count(key) && member->holds(key)) return name;
     return {};
   }
   int leader() const {
     for (const auto& [number, keeper] : keepers) try {
-        if (fleet::askControl(folder(number) + "/control.sock", {{"ask", "status"}})["leads"]) return number;
+        if (fleet::queryAdminSocket(folder(number) + "/control.sock", {{"ask", "status"}})["leads"])
+          return number;
       } catch (const std::runtime_error&) {  // it is not there
       }
     return 0;
--- a/tests/fuzz/driver.cpp
+++ b/tests/fuzz/driver.cpp
@@ -1,5 +1,5 @@
 // Runs a fuzz target over its corpus and over mutations of it, drawn by a fixed seed: the same inputs each
-// time. For a search without end, build with clang and -DOCHREHILL_FUZZ=ON, which puts libFuzzer in its
+// time. For a search without end, build with clang and -DCAIRNJUNCTION_FUZZ=ON, which puts libFuzzer in its
 // place.
 #include <algorithm>
 #include <cstdint>
--- a/tests/fuzz/host_list.cpp
+++ b/tests/fuzz/host_list.cpp
@@ -1,17 +1,17 @@
 // Fuzz target: a list of hosts, as discovery sends it. Nonsense is an exception of one type and nothing else.
-#include "discovery/host_list.hpp"
-
 #include <cstdint>
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 #include <string>
 
+#include "discovery/endpoint_list.hpp"
+
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const auto json =
       nlohmann::json::parse(std::string(reinterpret_cast<const char*>(data), size), nullptr, false);
   if (json.is_discarded()) return 0;
   try {
-    cairnjunction::parseHostList(json);
+    cairnjunction::parseEndpointList(json);
   } catch (const std::invalid_argument&) {
   }
   return 0;
--- a/tests/gateway_waits.hpp
+++ b/tests/gateway_waits.hpp
@@ -10,7 +10,7 @@
 
 inline Gateway::Waits longWatches() {
   Gateway::Waits waits;
-  waits.discovery.watchLeast = waits.discovery.watchMost = std::chrono::seconds(20);
+  waits.discovery.watchMin = waits.discovery.watchMax = std::chrono::seconds(20);
   return waits;
 }
 
--- a/tests/http/answer_test.cpp
+++ b/tests/http/answer_test.cpp
@@ -11,14 +11,14 @@
 namespace {
 
 using namespace std::chrono_literals;
-using ochrehill::Duration;
-using ochrehill::Fault;
-using ochrehill::Outcome;
+using policy::Duration;
+using policy::FailureReason;
+using policy::Outcome;
 
 class AnswerTest : public LoopTest {
  protected:
   std::unique_ptr<HttpUpstream> pool;
-  std::deque<AttemptEnd> ends;
+  std::deque<AttemptOutcome> ends;
   Call call;
   CallId last = 0;
 
@@ -26,17 +26,17 @@
     HttpUpstream::Limits limits;
     limits.connectTimeout = 60s;
     pool = std::make_unique<HttpUpstream>(io, limits,
-                                          [this](AttemptEnd end) { ends.push_back(std::move(end)); });
-    pool->list(1, host, true);
+                                          [this](AttemptOutcome end) { ends.push_back(std::move(end)); });
+    pool->updateEndpoint(1, host, true);
   }
-  AttemptEnd ask() {
+  AttemptOutcome ask() {
     call = {};
-    call.name = "c" + std::to_string(++last);
+    call.externalId = "c" + std::to_string(++last);
     call.message.target = "/read";
     pool->start({last, 0}, 1, call, Duration(60s));
     EXPECT_TRUE(until([&] { return !ends.empty(); }));
     if (ends.empty()) return {};
-    AttemptEnd e = std::move(ends.front());
+    AttemptOutcome e = std::move(ends.front());
     ends.pop_front();
     return e;
   }
@@ -68,7 +68,7 @@
           else c.reply(part, true);
         });
         make(host.endpoint);
-        const AttemptEnd e = ask();
+        const AttemptOutcome e = ask();
         const std::size_t head = answer.text.find("\r\n\r\n") + 4;
         const bool whole = answer.endsByItself ? bytes == answer.text.size() : !reset && bytes >= head;
         if (!reset) {
@@ -80,7 +80,7 @@
         if (e.outcome == Outcome::served) {
           const std::string body = answer.endsByItself ? (answer.name == std::string("nothing") ? "" : "body")
                                                        : answer.text.substr(head, bytes - head);
-          EXPECT_EQ(e.answer.body, body);
+          EXPECT_EQ(e.response.body, body);
         }
       }
 }
@@ -120,11 +120,11 @@
       c.reply(answer.begin + more);
     });
     make(host.endpoint);
-    const AttemptEnd e = ask();
+    const AttemptOutcome e = ask();
     EXPECT_EQ(e.outcome, Outcome::error);
-    EXPECT_EQ(e.fault, Fault::spoilt);
+    EXPECT_EQ(e.failureReason, FailureReason::malformedResponse);
     EXPECT_LT(sent, answer.most + onTheWay);
-    EXPECT_EQ(pool->connections(), 0u);
+    EXPECT_EQ(pool->connectionCount(), 0u);
     ASSERT_TRUE(until([&] { return host.connections.front()->closedByPeer; }));
     host.connections.front()->then(nullptr);
   }
--- a/tests/http/large_test.cpp
+++ b/tests/http/large_test.cpp
@@ -239,8 +239,9 @@
   ASSERT_TRUE(takeUntil(c, [&] { return c.bodySize() >= large.size(); }));
   EXPECT_TRUE(c.body() == large);
   ASSERT_TRUE(until([&] { return gateway->openRequests() == 0; }));
-  const auto id = gateway->engine().findHost("s-9");
-  EXPECT_EQ(gateway->engine().balancer().connections(id), 1u) << "its own, and none of the one before it";
+  const auto id = gateway->engine().findEndpoint("s-9");
+  EXPECT_EQ(gateway->engine().loadBalancer().openConnections(id), 1u)
+      << "its own, and none of the one before it";
 }
 
 // --- Requests -------------------------------------------------------------------------------------------
--- a/tests/http/leaving_test.cpp
+++ b/tests/http/leaving_test.cpp
@@ -68,10 +68,10 @@
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
   ::testing::AssertionResult waits(std::size_t requests = 1) {
-    return until([this, requests] { return gateway->engine().unanswered() == requests; });
+    return until([this, requests] { return gateway->engine().awaitingReply() == requests; });
   }
   ::testing::AssertionResult isOver() {
-    return until([this] { return gateway->engine().unanswered() == 0 && gateway->openRequests() == 0; });
+    return until([this] { return gateway->engine().awaitingReply() == 0 && gateway->openRequests() == 0; });
   }
 };
 
@@ -131,11 +131,13 @@
       clients.push_back(std::make_unique<Leaver>(io, gateway->listening()));
       clients.back()->send(text(kind));
       ASSERT_TRUE(until([&] {
-        return gateway->engine().unanswered() == clients.size() && gateway->connections() >= clients.size();
+        return gateway->engine().awaitingReply() == clients.size() &&
+               gateway->connections() >= clients.size();
       }));
     }
     ASSERT_TRUE(until([&] {
-      return gateway->engine().balancer().attemptsOut(gateway->engine().findHost("s-0")) == clients.size();
+      return gateway->engine().loadBalancer().attemptsInFlight(gateway->engine().findEndpoint("s-0")) ==
+             clients.size();
     }));
     for (const auto& client : clients) client->leave(how);
     ASSERT_TRUE(isOver());
@@ -163,7 +165,7 @@
     const std::string piece = whole.substr(sent, 64 << 10);
     client.send(piece);
     sent = before + piece.size();
-    return sent == whole.size() || gateway->engine().unanswered() == 1;
+    return sent == whole.size() || gateway->engine().awaitingReply() == 1;
   }));
   client.leave(how);
   ASSERT_TRUE(isOver());
@@ -212,10 +214,10 @@
   // Some are refused: more than may be in flight. Those that are not leave in one moment.
   ASSERT_TRUE(until([&] {
     std::uint64_t refused = 0;
-    for (const auto& tally : gateway->engine().tallies()) refused += tally.refused;
-    return gateway->engine().unanswered() + refused == 200;
+    for (const auto& tally : gateway->engine().replyCounts()) refused += tally.rejected;
+    return gateway->engine().awaitingReply() + refused == 200;
   }));
-  ASSERT_GT(gateway->engine().unanswered(), 0u);
+  ASSERT_GT(gateway->engine().awaitingReply(), 0u);
   for (const auto& client : clients) client->leave(how);
   ASSERT_TRUE(isOver());
   full.takeAll();
--- a/tests/jsonrpc/text_test.cpp
+++ b/tests/jsonrpc/text_test.cpp
@@ -161,7 +161,7 @@
   Parser parser(10000);
   const auto of = [&](const std::string& body) {
     Reply reply;
-    reply.verdict = Verdict::served;
+    reply.status = ReplyStatus::ok;
     reply.message.body = body;
     return resultOf(std::move(reply), false, parser);
   };
@@ -210,19 +210,19 @@
 }
 
 TEST(JsonRpcSettings, MethodsFindTheirClasses) {
-  ochrehill::Settings module;
+  policy::Settings module;
   for (const char* name : {"read", "put"}) {
-    ochrehill::ClassSettings c;
+    policy::ClassSettings c;
     c.name = name;
-    c.aim = c.giveUp = std::chrono::seconds(1);
-    c.effect = std::string(name) == "put" ? ochrehill::Effect::dedup : ochrehill::Effect::retryable;
+    c.latencyObjective = c.clientTimeout = std::chrono::seconds(1);
+    c.idempotency = std::string(name) == "put" ? policy::Idempotency::keyed : policy::Idempotency::safe;
     module.classes.push_back(c);
   }
   Settings s = parseSettings(kGood);
   resolve(s, module);
   ASSERT_EQ(module.classes.size(), 3u) << "one of its own worth";
-  EXPECT_EQ(module.classes[2].worth, 3);
-  EXPECT_EQ(module.classes[2].effect, ochrehill::Effect::retryable);
+  EXPECT_EQ(module.classes[2].priorityWeight, 3);
+  EXPECT_EQ(module.classes[2].idempotency, policy::Idempotency::safe);
   EXPECT_EQ(s.methods[0].classIndex, 2u);
   EXPECT_EQ(s.methods[1].classIndex, 0u);
   EXPECT_EQ(s.methods[1].target, "/read");
