--- a/tests/jsonrpc/upstream_test.cpp
+++ b/tests/jsonrpc/upstream_test.cpp
@@ -7,25 +7,25 @@
 namespace {
 
 using jsonrpc::Upstream;
-using O = ochrehill::Outcome;
+using O = policy::Outcome;
 
 class UpstreamTest : public RpcTest {
  protected:
   Upstream::Limits limits;
   std::unique_ptr<Upstream> upstream;
-  std::vector<AttemptEnd> ends;
+  std::vector<AttemptOutcome> ends;
   CallId last = 0;
 
   void make(const tcp::endpoint& at) {
     limits.connectTimeout = std::chrono::seconds(5);
-    upstream =
-        std::make_unique<Upstream>(io, limits, [this](AttemptEnd end) { ends.push_back(std::move(end)); });
-    upstream->list(1, at, true);
+    upstream = std::make_unique<Upstream>(io, limits,
+                                          [this](AttemptOutcome end) { ends.push_back(std::move(end)); });
+    upstream->updateEndpoint(1, at, true);
   }
   AttemptKey send(const json& params = json::object(),
-                  const AttemptLimits& limit = ochrehill::Duration(kPatience)) {
+                  const AttemptTimeouts& limit = policy::Duration(kPatience)) {
     Call call;
-    call.name = "c" + std::to_string(++last);
+    call.externalId = "c" + std::to_string(++last);
     call.message.operation = "work";
     call.message.body = params.dump();
     call.message.format = Format::json;
@@ -33,10 +33,10 @@
     return {last, 0};
   }
   O endOf(AttemptKey key) const {
-    for (const AttemptEnd& end : ends)
+    for (const AttemptOutcome& end : ends)
       if (end.key == key) return end.outcome;
     ADD_FAILURE() << "has not ended";
-    return O::moot;
+    return O::notSent;
   }
 };
 
@@ -54,9 +54,9 @@
   for (int i = 0; i < 8; ++i) send({{"i", i}});
   ASSERT_TRUE(until([&] { return ends.size() == 8; }));
   EXPECT_EQ(worker.connections.size(), 1u);
-  for (const AttemptEnd& end : ends) {
+  for (const AttemptOutcome& end : ends) {
     EXPECT_EQ(end.outcome, O::served);
-    EXPECT_EQ(json::parse(end.answer.body)["i"], end.key.call - 1);
+    EXPECT_EQ(json::parse(end.response.body)["i"], end.key.call - 1);
   }
 }
 
@@ -88,7 +88,7 @@
   if (GetParam().second != O::served) {
     ASSERT_TRUE(until([&] { return ends.size() == 2; }));
     EXPECT_EQ(endOf(two), GetParam().second);
-    EXPECT_EQ(upstream->connections(), 0u);
+    EXPECT_EQ(upstream->connectionCount(), 0u);
     return;
   }
   EXPECT_EQ(ends.size(), 1u) << "the other goes on";
@@ -104,13 +104,13 @@
         Wrong{"Internal", [](Lines& l, const json& id) { l.say(error(id, -32603)); }, O::error, O::served},
         Wrong{"Server", [](Lines& l, const json& id) { l.say(error(id, -32050)); }, O::error, O::served},
         Wrong{"NotRun", [](Lines& l, const json& id) { l.say(error(id, -32050, {{"not_run", true}})); },
-              O::full, O::served},
+              O::overloaded, O::served},
         Wrong{"NotRunOfAnotherCode",
               [](Lines& l, const json& id) { l.say(error(id, -32603, {{"not_run", true}})); },
               O::error, O::served},
-        Wrong{"NoMethod", [](Lines& l, const json& id) { l.say(error(id, -32601)); }, O::rejected,
+        Wrong{"NoMethod", [](Lines& l, const json& id) { l.say(error(id, -32601)); }, O::invalidRequest,
               O::served},
-        Wrong{"BadParams", [](Lines& l, const json& id) { l.say(error(id, -32602)); }, O::rejected,
+        Wrong{"BadParams", [](Lines& l, const json& id) { l.say(error(id, -32602)); }, O::invalidRequest,
               O::served},
         Wrong{"UnknownId", [](Lines& l, const json&) { l.say(result(77, 1)); }, O::reset, O::reset},
         Wrong{"StringId", [](Lines& l, const json& id) { l.say(result(id.dump(), 1)); }, O::reset,
@@ -154,7 +154,7 @@
   ASSERT_TRUE(until([&] { return ends.size() == 2; }));
   EXPECT_EQ(endOf(one), O::connectFailed);
   EXPECT_EQ(endOf(two), O::connectFailed);
-  EXPECT_EQ(upstream->connections(), 0u);
+  EXPECT_EQ(upstream->connectionCount(), 0u);
 }
 
 TEST_F(UpstreamTest, WhatWasNotWrittenToItsLastByteNeverRan) {
@@ -218,8 +218,7 @@
 TEST_F(UpstreamTest, AWorkerThatIsSilentToACancelLosesItsConnection) {
   Worker& worker = addWorker(nullptr);
   make(worker.endpoint);
-  const AttemptKey one = send(json::object(), ochrehill::Duration(std::chrono::milliseconds(50))),
-                   two = send();
+  const AttemptKey one = send(json::object(), policy::Duration(std::chrono::milliseconds(50))), two = send();
   ASSERT_TRUE(until([&] { return ends.size() == 2; }));
   EXPECT_EQ(endOf(one), O::timeout);
   EXPECT_EQ(endOf(two), O::reset);
@@ -270,11 +269,11 @@
   make(worker.endpoint);
   const AttemptKey one = send();
   ASSERT_TRUE(until([&] { return from != nullptr; }));
-  upstream->list(1, worker.endpoint, false);
+  upstream->updateEndpoint(1, worker.endpoint, false);
   from->say(result(worker.requests[0]["id"], 1));
   ASSERT_TRUE(until([&] { return ends.size() == 1; }));
   EXPECT_EQ(endOf(one), O::served);
-  EXPECT_TRUE(until([&] { return upstream->connections() == 0; }));
+  EXPECT_TRUE(until([&] { return upstream->connectionCount() == 0; }));
 }
 
 // --- What stands behind others and is not written yet
@@ -302,7 +301,7 @@
     for (int i = 0; i < 7; ++i) send({{"n", 0}, {"filler", std::string(900 << 10, 'x')}});
     EXPECT_TRUE(until([this] { return worker != nullptr; }));
     for (int i = 0; i < 200; ++i) io.poll();
-    EXPECT_LT(upstream->dispatches(), 8u) << "some of it is not written";
+    EXPECT_LT(upstream->attemptsWritten(), 8u) << "some of it is not written";
     return large;
   }
   // All that the worker reads from here on: the numbers of the small calls, in order.
@@ -325,11 +324,11 @@
     keys.push_back(send({{"n", n}, {"filler", std::string(static_cast<std::size_t>(n) * 100, 'x')}}));
     if (n == 3) upstream->cancel(large);  // a word to the host stands between the calls
   }
-  for (const int n : {1, 4, 6}) upstream->withdraw(keys[static_cast<std::size_t>(n - 1)]);
+  for (const int n : {1, 4, 6}) upstream->cancelIfUnsent(keys[static_cast<std::size_t>(n - 1)]);
   ASSERT_EQ(ends.size(), 3u);
-  for (const AttemptEnd& end : ends) {
+  for (const AttemptOutcome& end : ends) {
     EXPECT_EQ(end.outcome, O::connectFailed);
-    EXPECT_EQ(end.fault, ochrehill::Fault::withdrawn);
+    EXPECT_EQ(end.failureReason, policy::FailureReason::cancelledBeforeSend);
   }
   EXPECT_EQ(numbersRead(8 + 1 + 3), (std::vector<int>{2, 3, 5}));
   for (const json& text : worker->texts)
@@ -341,7 +340,7 @@
 TEST_F(Unwritten, IsTakenBackWhenItsHostIsDrained) {
   sendBehindALargeOne();
   const AttemptKey small = send({{"n", 1}});
-  upstream->list(1, acceptor.local_endpoint(), false);
+  upstream->updateEndpoint(1, acceptor.local_endpoint(), false);
   EXPECT_TRUE(ends.empty()) << "not from within: more of the list is to be told";
   ASSERT_TRUE(until([&] { return ends.size() >= 2; }));
   EXPECT_EQ(endOf(small), O::connectFailed);
@@ -354,11 +353,11 @@
 
 TEST_F(Unwritten, EndsWhenItsTimeToBeWrittenIsOver) {
   sendBehindALargeOne();
-  const AttemptKey brief = send({{"n", 1}}, {ochrehill::Duration(kPatience), std::chrono::milliseconds(30)});
+  const AttemptKey brief = send({{"n", 1}}, {policy::Duration(kPatience), std::chrono::milliseconds(30)});
   const AttemptKey other = send({{"n", 2}});
   ASSERT_TRUE(until([&] { return ends.size() == 1; }));
   EXPECT_EQ(endOf(brief), O::connectFailed);
-  EXPECT_EQ(ends[0].fault, ochrehill::Fault::outOfTime);
+  EXPECT_EQ(ends[0].failureReason, policy::FailureReason::attemptTimeout);
   EXPECT_EQ(numbersRead(8 + 1), std::vector<int>{2});
   worker->say(result(worker->texts.back()["id"], 1));
   ASSERT_TRUE(until([&] { return ends.size() == 2; }));
@@ -368,7 +367,7 @@
 TEST_F(UpstreamTest, WhatIsWrittenInItsTimeHasAllOfItsTimeForTheAnswer) {
   Worker& worker = addWorker(nullptr);
   make(worker.endpoint);
-  const AttemptKey one = send({{"n", 1}}, {ochrehill::Duration(kPatience), std::chrono::milliseconds(40)});
+  const AttemptKey one = send({{"n", 1}}, {policy::Duration(kPatience), std::chrono::milliseconds(40)});
   ASSERT_TRUE(until([&] { return worker.requests.size() == 1; }));
   asio::steady_timer passed(io, std::chrono::milliseconds(100));
   bool over = false;
--- a/tests/layers.sh
+++ b/tests/layers.sh
@@ -3,33 +3,36 @@
 set -eu
 cd "$1/src"
 bad=0
-allow() {  # package, then the folders that it may include beside itself, the module's interface and src/lifetime.hpp
+allow() {  # package, then the folders that it may include beside itself, the public interface and src/common
   package=$1; shift
   for include in $(sed -n 's/^#include "\([^"]*\)"$/\1/p' "$package"/*.?pp | sort -u); do
     folder=${include%%/*}
-    for allowed in "$package" ochrehill lifetime.hpp "$@"; do [ "$folder" = "$allowed" ] && continue 2; done
+    for allowed in "$package" cairnjunction common "$@"; do [ "$folder" = "$allowed" ] && continue 2; done
     echo "src/$package includes $include, which is not below it"
     bad=1
   done
 }
-allow membership numbers.hpp
+allow common
+allow policy
+allow sim policy
+allow membership
 allow core membership
 allow discovery
 allow config discovery route
 allow upstream core
 allow http core route upstream
 allow jsonrpc core discovery upstream
-allow ops
+allow admin
 allow route
 allow import/nginx import route
 allow pools route
 allow limits route
-allow duty
-allow agreement
-allow tomlfile
-allow fleet agreement discovery duty tomlfile
-allow app agreement duty fleet core config discovery http import jsonrpc limits ops pools route upstream standins
-# Beliefs know no protocol, no socket and no clock.
+allow lease
+allow consensus
+allow toml
+allow fleet consensus discovery lease toml
+allow app admin config consensus core discovery fleet http import jsonrpc lease limits membership pools route upstream standins
+# The state of endpoints knows no protocol, no socket and no clock.
 if grep -nEi 'boost|socket|steady_clock|system_clock' membership/*.?pp | grep -v '//'; then
   echo "src/membership knows more than it should"; bad=1
 fi
@@ -40,9 +43,9 @@
 if grep -nEi 'boost|socket\(|steady_clock|system_clock' pools/*.?pp limits/*.?pp | grep -v '//'; then
   echo "src/pools or src/limits knows more than it should"; bad=1
 fi
-# Duties are decided without I/O and without a clock.
-if grep -nEi 'boost|asio|fstream|socket|steady_clock|system_clock' duty/*.?pp | grep -v '//'; then
-  echo "src/duty knows more than it should"; bad=1
+# Leases are decided without I/O and without a clock.
+if grep -nEi 'boost|asio|fstream|socket|steady_clock|system_clock' lease/*.?pp | grep -v '//'; then
+  echo "src/lease knows more than it should"; bad=1
 fi
 # The core knows no protocol, no socket and no clock.
 if grep -nEi 'boost|http|json|socket|steady_clock|system_clock' core/engine.?pp core/call.hpp | grep -v '//'; then
--- a/tests/duty/explorer_test.cpp
+++ b/tests/lease/explorer_test.cpp
@@ -10,11 +10,11 @@
 #include <unordered_set>
 #include <variant>
 
-#include "duty/fence.hpp"
-#include "duty/registry.hpp"
-#include "duty/tenure.hpp"
+#include "lease/fencing_gate.hpp"
+#include "lease/held_lease.hpp"
+#include "lease/lease_table.hpp"
 
-namespace cairnjunction::duty {
+namespace cairnjunction::lease {
 namespace {
 
 struct Broken {  // what a variant does wrong; the real parts are used for the rest
@@ -45,18 +45,18 @@
   Epoch epoch;
   auto operator<=>(const Answer&) const = default;
 };
-using Message = std::variant<Ask, Answer, OrderId>;
+using Message = std::variant<Ask, Answer, FencingToken>;
 
 struct Process {
   Incarnation incarnation = 1;
-  std::array<Tenure, 2> tenures;
+  std::array<HeldLease, 2> tenures;
 };
 
 struct World {
   Time now{1000};
-  Registry log;
+  LeaseTable log;
   std::array<Process, 3> members;
-  Fence fence;
+  FencingGate fence;
   std::vector<Message> net;  // sorted: their order says nothing
   int ticks = 0, crashes = 0, restarts = 0, copies = 0;
   // What the receiver did, for the promises: by duty the highest epoch, and who had an effect under each
@@ -66,7 +66,7 @@
 };
 
 std::string nameOf(int member) { return std::string(1, static_cast<char>('a' + member)); }
-Key keyOf(int duty) { return {duty == 0 ? "list" : "probe", 0}; }
+LeaseKey keyOf(int duty) { return {duty == 0 ? "list" : "probe", 0}; }
 
 struct Explorer {
   Explorer(const Broken& b, const Bounds& limits) : broken(b), bounds(limits) {}
@@ -84,18 +84,19 @@
     const auto add = [&id](auto... numbers) { ((id += std::to_string(numbers) + ','), ...); };
     add(w.now.count(), w.ticks, w.crashes, w.restarts, w.copies, w.fence.ready(), w.highest[0], w.highest[1]);
     for (const Process& p : w.members)
-      for (const Tenure& t : p.tenures)
+      for (const HeldLease& t : p.tenures)
         add(p.incarnation, t.epoch(), t.sequence(), t.until().count(), t.held());
     for (const auto& [key, mark] : w.fence.marks())
-      id += key.duty, add(mark.epoch, mark.sequence), id += mark.from.name;
+      id += key.task, add(mark.epoch, mark.sequence), id += mark.holder.name;
     for (const Message& m : w.net) {
       add(m.index());
       if (const auto* ask = std::get_if<Ask>(&m))
         add(ask->member, ask->duty, ask->incarnation, ask->askedAt.count(), ask->renews);
       else if (const auto* answer = std::get_if<Answer>(&m))
         add(answer->member, answer->duty, answer->incarnation, answer->askedAt.count(), answer->epoch);
-      else if (const auto* order = std::get_if<OrderId>(&m))
-        id += order->key.duty + order->from.name, add(order->epoch, order->sequence, order->from.incarnation);
+      else if (const auto* order = std::get_if<FencingToken>(&m))
+        id += order->key.task + order->holder.name,
+            add(order->epoch, order->sequence, order->holder.incarnation);
     }
     for (const auto& [what, who] : w.effects) add(what.first, what.second), id += who;
     return id;
@@ -108,30 +109,30 @@
     depth = std::max(depth, at);
     for (int d = 0; d < bounds.duties; ++d) {
       int owners = 0;
-      for (int m = 0; m < bounds.members; ++m) owners += w.members[m].tenures[d].mayAct(w.now);
+      for (int m = 0; m < bounds.members; ++m) owners += w.members[m].tenures[d].isValid(w.now);
       if (owners > 1) harm = "two members may act for one duty at once";
     }
     if (at < bounds.depth) next.emplace_back(std::move(w), at);
   }
 
-  void take(World& w, const OrderId& order) {
+  void take(World& w, const FencingToken& order) {
     const int duty = order.key == keyOf(0) ? 0 : 1;
-    Verdict verdict = w.fence.admit(order);
-    if (broken.noEpochCheck && verdict == Verdict::olderEpoch) verdict = Verdict::taken;
-    if (verdict != Verdict::taken) return;
+    FencingResult verdict = w.fence.admit(order);
+    if (broken.noEpochCheck && verdict == FencingResult::staleEpoch) verdict = FencingResult::accepted;
+    if (verdict != FencingResult::accepted) return;
     if (order.epoch < w.highest[duty]) harm = "an effect of an older epoch after a newer one";
     w.highest[duty] = std::max(w.highest[duty], order.epoch);
-    const auto [it, first] = w.effects.emplace(std::pair(duty, order.epoch), order.from.name);
-    if (!first && it->second != order.from.name) harm = "two members' effects under one epoch";
+    const auto [it, first] = w.effects.emplace(std::pair(duty, order.epoch), order.holder.name);
+    if (!first && it->second != order.holder.name) harm = "two members' effects under one epoch";
   }
 
   void deliver(World& w, const Message& message) {
     if (const auto* ask = std::get_if<Ask>(&message)) {
       const Member who{nameOf(ask->member), ask->incarnation};
-      const Key key = keyOf(ask->duty);
-      const Outcome outcome = ask->renews
-                                  ? w.log.apply({w.now, Renewed{who, {{key, ask->renews, 0}}, kLease}})
-                                  : w.log.apply({w.now, Granted{key, who, kLease}});
+      const LeaseKey key = keyOf(ask->duty);
+      const ApplyResult outcome =
+          ask->renews ? w.log.apply({w.now, LeasesRenewed{who, {{key, ask->renews, 0}}, kLease}})
+                      : w.log.apply({w.now, LeaseGranted{key, who, kLease}});
       if (!outcome.held.empty())
         w.net.push_back(
             Answer{ask->member, ask->duty, ask->incarnation, ask->askedAt, outcome.held[0].epoch});
@@ -141,7 +142,7 @@
       p.tenures[answer->duty].granted(answer->epoch, 0, broken.leaseFromAnswer ? w.now : answer->askedAt,
                                       kLease);
     } else {
-      take(w, std::get<OrderId>(message));
+      take(w, std::get<FencingToken>(message));
     }
   }
 
@@ -167,34 +168,34 @@
     }
     for (int m = 0; m < bounds.members; ++m) {
       for (int d = 0; d < bounds.duties && w.net.size() < bounds.messages; ++d) {
-        const Tenure& tenure = w.members[m].tenures[d];
+        const HeldLease& tenure = w.members[m].tenures[d];
         with([&](World& c) {  // asks for the key, or to keep it
           c.net.push_back(Ask{m, d, w.members[m].incarnation, w.now, tenure.held() ? tenure.epoch() : 0});
         });
-        if (tenure.mayAct(w.now))
+        if (tenure.isValid(w.now))
           with([&](World& c) {  // decides; the order may be written at any later moment
             c.net.push_back(
-                *c.members[m].tenures[d].order(keyOf(d), {nameOf(m), w.members[m].incarnation}, c.now));
+                *c.members[m].tenures[d].nextToken(keyOf(d), {nameOf(m), w.members[m].incarnation}, c.now));
           });
       }
       if (w.crashes < bounds.crashes)
         with([&](World& c) {
           ++c.crashes;
           c.members[m] = {w.members[m].incarnation + 1, {}};
-          c.log.apply({c.now, Joined{{nameOf(m), c.members[m].incarnation}, ""}});
+          c.log.apply({c.now, MemberJoined{{nameOf(m), c.members[m].incarnation}, ""}});
         });
     }
     if (w.restarts < bounds.restarts)
       with([&](World& c) {
         ++c.restarts;
-        std::map<Key, Fence::Mark> kept;
+        std::map<LeaseKey, FencingGate::FencingMark> kept;
         if (bounds.disk) kept = c.fence.marks();
         else
           for (const auto& [key, holding] : c.log.holdings())
             kept[key] = {holding.epoch, holding.sequence, {}};
         if (broken.forgetAtRestart) kept.clear();
         c.fence = {};
-        for (auto& [key, mark] : kept) mark = mark.beforeLast();
+        for (auto& [key, mark] : kept) mark = mark.withoutLastCommand();
         c.fence.learn(kept);
       });
   }
@@ -202,7 +203,7 @@
   void explore() {
     World first;
     first.fence.learn({});
-    for (int m = 0; m < bounds.members; ++m) first.log.apply({first.now, Joined{{nameOf(m), 1}, ""}});
+    for (int m = 0; m < bounds.members; ++m) first.log.apply({first.now, MemberJoined{{nameOf(m), 1}, ""}});
     reach(first, 0);
     while (!next.empty() && harm.empty()) {
       const auto [world, at] = std::move(next.front());
@@ -252,4 +253,4 @@
 }
 
 }  // namespace
-}  // namespace cairnjunction::duty
+}  // namespace cairnjunction::lease
--- a/tests/membership/gateway_test.cpp
+++ b/tests/membership/gateway_test.cpp
@@ -81,10 +81,11 @@
     EXPECT_TRUE(until([&] { return !c->answers.empty() || c->closedByPeer; }));
     return c->answers.empty() ? Response{} : c->answers.front();
   }
-  Standing standing(const std::string& uid) const {
+  EndpointCondition standing(const std::string& uid) const {
     const auto& engine = gateway->engine();
-    const auto id = engine.findHost(uid);
-    return id == ochrehill::kNone ? Standing::gone : engine.membership().of(id, 48h).state;
+    const auto id = engine.findEndpoint(uid);
+    return id == policy::kNone ? EndpointCondition::removed
+                               : engine.endpointHealth().statusOf(id, 48h).condition;
   }
 };
 
@@ -95,9 +96,9 @@
   for (int i = 0; i < 8; ++i) kill(*hosts[static_cast<std::size_t>(i)]);
   for (int i = 0; i < 60; ++i) ASSERT_EQ(ask(i % 2 ? "write" : "read").result_int(), 200u) << i;
   std::size_t out = 0;
-  for (int i = 0; i < 8; ++i) out += standing("s-" + std::to_string(i)) == Standing::unreachable;
+  for (int i = 0; i < 8; ++i) out += standing("s-" + std::to_string(i)) == EndpointCondition::unreachable;
   EXPECT_GE(out, 6u);
-  EXPECT_EQ(standing("s-8"), Standing::serving);
+  EXPECT_EQ(standing("s-8"), EndpointCondition::serving);
   EXPECT_EQ(gateway->openRequests(), 0u);
 }
 
@@ -129,9 +130,9 @@
 }
 
 TEST_F(WrongList, AWatchThatIsSilentPastItsWaitIsAskedAnewBesideByASmallCall) {
-  waits.discovery.watchLeast = waits.discovery.watchMost = 60ms;
-  waits.discovery.late = 20ms;
-  waits.discovery.watchOver = 60s;  // it is not given up
+  waits.discovery.watchMin = waits.discovery.watchMax = 60ms;
+  waits.discovery.watchGrace = 20ms;
+  waits.discovery.staleWatchLinger = 60s;  // it is not given up
   addHost();
   start();
   ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
@@ -181,7 +182,7 @@
   int served = 0;
   ASSERT_TRUE(until([&] {
     served += ask().result_int() == 200;  // by the list that it has, meanwhile
-    return gateway->engine().findHost("s-1") != ochrehill::kNone;
+    return gateway->engine().findEndpoint("s-1") != policy::kNone;
   }));
   EXPECT_EQ(served, serial) << "no request suffers from it";
   EXPECT_GT(discovery.failed, 0);
@@ -206,7 +207,7 @@
   discovery.held[1]->reply(discovery.text(true));
   ASSERT_TRUE(until([&] { return gateway->hosts() == 2; }));
   for (int i = 0; i < 30; ++i) ASSERT_EQ(ask("write").body(), "s-1") << i;
-  EXPECT_EQ(standing("s-0"), Standing::unreachable);
+  EXPECT_EQ(standing("s-0"), EndpointCondition::unreachable);
 }
 
 TEST_F(WrongList, AHostThatRefusedComesBackAtItsAddressUnderANewId) {
@@ -218,7 +219,7 @@
   kill(first);
   ASSERT_TRUE(until([&] {
     EXPECT_EQ(ask().body(), "s-1");
-    return standing("s-0") == Standing::unreachable;
+    return standing("s-0") == EndpointCondition::unreachable;
   }));
   tcp::acceptor acceptor(io, at);  // as a new process
   int taken = 0;
@@ -242,8 +243,8 @@
     ask();
     return taken > 3;
   }));
-  EXPECT_EQ(standing("s-0"), Standing::gone);
-  EXPECT_EQ(standing("s-new"), Standing::serving);
+  EXPECT_EQ(standing("s-0"), EndpointCondition::removed);
+  EXPECT_EQ(standing("s-new"), EndpointCondition::serving);
   acceptor.close();
   for (auto& c : connections) c->close();
 }
--- a/tests/membership/pool_facts_test.cpp
+++ b/tests/membership/pool_facts_test.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 using namespace std::chrono_literals;
-using ochrehill::Carrier;
-using ochrehill::Duration;
-using ochrehill::Fault;
-using ochrehill::Outcome;
+using policy::ConnectionUse;
+using policy::Duration;
+using policy::FailureReason;
+using policy::Outcome;
 
 struct Setting {
   const char* name;
@@ -23,16 +23,16 @@
 
 class PoolFacts : public LoopTest, public ::testing::WithParamInterface<Setting> {
  protected:
-  std::unique_ptr<HostUpstream> pool;
-  std::deque<AttemptEnd> ends;
+  std::unique_ptr<EndpointUpstream> pool;
+  std::deque<AttemptOutcome> ends;
   std::deque<Call> calls;
-  std::vector<HostConnections> told;
+  std::vector<EndpointConnections> told;
   CallId last = 0;
 
   std::chrono::milliseconds quiet = 5ms;  // behind an answer, over HTTP
 
   void make(std::size_t connections = 10, std::chrono::milliseconds connectTimeout = 60s) {
-    const auto ended = [this](AttemptEnd end) { ends.push_back(std::move(end)); };
+    const auto ended = [this](AttemptOutcome end) { ends.push_back(std::move(end)); };
     if (GetParam().jsonRpc) {
       jsonrpc::Upstream::Limits limits;
       limits.connections = connections;
@@ -46,16 +46,16 @@
       limits.connectTimeout = connectTimeout;
       pool = std::make_unique<HttpUpstream>(io, limits, ended);
     }
-    pool->onConnections([this](ochrehill::HostId host, HostConnections now) {
+    pool->onConnections([this](policy::EndpointId host, EndpointConnections now) {
       EXPECT_EQ(host, 1u);
-      EXPECT_LE(now.up, now.open);
+      EXPECT_LE(now.established, now.open);
       told.push_back(now);
     });
   }
-  AttemptKey send(const AttemptLimits& limits = Duration(60s), std::size_t bodyBytes = 0) {
+  AttemptKey send(const AttemptTimeouts& limits = Duration(60s), std::size_t bodyBytes = 0) {
     calls.emplace_back();  // each lives as long as its attempt
     Call& call = calls.back();
-    call.name = "c" + std::to_string(++last);
+    call.externalId = "c" + std::to_string(++last);
     call.message.operation = "read";
     call.message.target = "/read";
     if (bodyBytes > 0) {
@@ -66,14 +66,14 @@
     pool->start({last, 0}, 1, call, limits);
     return {last, 0};
   }
-  AttemptEnd end() {
+  AttemptOutcome end() {
     EXPECT_TRUE(until([&] { return !ends.empty(); }));
     if (ends.empty()) return {};
-    AttemptEnd e = std::move(ends.front());
+    AttemptOutcome e = std::move(ends.front());
     ends.pop_front();
     return e;
   }
-  HostConnections now() const { return pool->connectionsOf(1); }
+  EndpointConnections now() const { return pool->connectionsOf(1); }
 
   // A host of either protocol that serves all, or says `instead`.
   std::unique_ptr<Peer> http;
@@ -95,19 +95,19 @@
 
 TEST_P(PoolFacts, AnAnswerTellsItsConnectionAndThatItWasKept) {
   make();
-  pool->list(1, serve(), true);
+  pool->updateEndpoint(1, serve(), true);
   ASSERT_EQ(told.size(), 1u) << "also that there is none";
   send();
-  AttemptEnd e = end();
+  AttemptOutcome e = end();
   EXPECT_EQ(e.outcome, Outcome::served);
-  EXPECT_EQ(e.carrier, Carrier::fresh);
-  EXPECT_TRUE(e.kept);
+  EXPECT_EQ(e.connectionUse, ConnectionUse::opened);
+  EXPECT_TRUE(e.connectionKept);
   EXPECT_EQ(now().open, 1u);
   send();
   e = end();
-  EXPECT_EQ(e.carrier, Carrier::reused);
-  EXPECT_TRUE(e.kept);
-  EXPECT_EQ(now().up, 1u);
+  EXPECT_EQ(e.connectionUse, ConnectionUse::reused);
+  EXPECT_TRUE(e.connectionKept);
+  EXPECT_EQ(now().established, 1u);
   pool->closeIdle(1);
   EXPECT_EQ(now().open, 0u);
   EXPECT_EQ(told.back().open, 0u);
@@ -116,47 +116,47 @@
 TEST_P(PoolFacts, RefusedIsToldAsRefused) {
   make();
   const ReservedPort nobody(io);
-  pool->list(1, nobody.endpoint, true);
+  pool->updateEndpoint(1, nobody.endpoint, true);
   send();
-  const AttemptEnd e = end();
+  const AttemptOutcome e = end();
   EXPECT_EQ(e.outcome, Outcome::connectFailed);
-  EXPECT_EQ(e.fault, Fault::refused);
-  EXPECT_EQ(e.carrier, Carrier::none);
-  EXPECT_FALSE(e.kept);
+  EXPECT_EQ(e.failureReason, FailureReason::connectionRefused);
+  EXPECT_EQ(e.connectionUse, ConnectionUse::none);
+  EXPECT_FALSE(e.connectionKept);
   EXPECT_EQ(now().open, 0u);
 }
 
 TEST_P(PoolFacts, AConnectionThatDoesNotComeUpInItsTimeIsSilent) {
   FullListener full(io);
   make(10, 80ms);
-  pool->list(1, full.endpoint, true);
+  pool->updateEndpoint(1, full.endpoint, true);
   ASSERT_TRUE(until([&] { return full.filled > 0; }));
   send();
-  const AttemptEnd e = end();
+  const AttemptOutcome e = end();
   EXPECT_EQ(e.outcome, Outcome::connectFailed);
-  EXPECT_EQ(e.fault, Fault::dialSilent);
+  EXPECT_EQ(e.failureReason, FailureReason::connectTimeout);
   EXPECT_EQ(now().open, 0u);
 }
 
 TEST_P(PoolFacts, AnAttemptWhoseOwnTimeEndsBeforeThatSaysNothingOfTheHost) {
   FullListener full(io);
   make();
-  pool->list(1, full.endpoint, true);
+  pool->updateEndpoint(1, full.endpoint, true);
   ASSERT_TRUE(until([&] { return full.filled > 0; }));
   send(Duration(80ms));
-  const AttemptEnd e = end();
+  const AttemptOutcome e = end();
   EXPECT_EQ(e.outcome, Outcome::connectFailed);
-  EXPECT_EQ(e.fault, Fault::outOfTime);
+  EXPECT_EQ(e.failureReason, FailureReason::attemptTimeout);
 }
 
 TEST_P(PoolFacts, WithNoDescriptorLeftNothingIsTried) {
   make(0);
-  pool->list(1, serve(), true);
+  pool->updateEndpoint(1, serve(), true);
   send();
-  const AttemptEnd e = end();
+  const AttemptOutcome e = end();
   EXPECT_EQ(e.outcome, Outcome::connectFailed);
-  EXPECT_EQ(e.fault, Fault::noDescriptor);
-  EXPECT_EQ(e.carrier, Carrier::none);
+  EXPECT_EQ(e.failureReason, FailureReason::noDescriptor);
+  EXPECT_EQ(e.connectionUse, ConnectionUse::none);
   EXPECT_EQ(now().open, 0u);
 }
 
@@ -164,19 +164,19 @@
 TEST_P(PoolFacts, WhatIsDialledWhenItsHostIsDrainedIsTakenBack) {
   FullListener full(io);
   make();
-  pool->list(1, full.endpoint, true);
+  pool->updateEndpoint(1, full.endpoint, true);
   ASSERT_TRUE(until([&] { return full.filled > 0; }));
   send();
   EXPECT_EQ(now().open, 1u);
-  EXPECT_EQ(now().up, 0u);
-  pool->list(1, full.endpoint, false);
+  EXPECT_EQ(now().established, 0u);
+  pool->updateEndpoint(1, full.endpoint, false);
   // Over JSON-RPC at once, so its connection may never come up; over HTTP when that does.
   const std::size_t least = GetParam().jsonRpc ? 1 : 2;
   if (GetParam().jsonRpc) ASSERT_TRUE(until([&] { return !ends.empty(); }));
   full.acceptAll();
-  const AttemptEnd e = end();
+  const AttemptOutcome e = end();
   EXPECT_EQ(e.outcome, Outcome::connectFailed);
-  EXPECT_EQ(e.fault, Fault::withdrawn);
+  EXPECT_EQ(e.failureReason, FailureReason::cancelledBeforeSend);
   EXPECT_EQ(now().open, 0u);
   full.dropFillers();
   ASSERT_TRUE(until([&] { return full.taken.size() >= least && full.allEnded(); }));
@@ -187,16 +187,16 @@
 TEST_P(PoolFacts, WhatIsDialledWhenItsHostMovesIsTakenBack) {
   FullListener full(io);
   make();
-  pool->list(1, full.endpoint, true);
+  pool->updateEndpoint(1, full.endpoint, true);
   ASSERT_TRUE(until([&] { return full.filled > 0; }));
   send();
-  EXPECT_TRUE(pool->list(1, serve(), true));
+  EXPECT_TRUE(pool->updateEndpoint(1, serve(), true));
   const std::size_t least = GetParam().jsonRpc ? 1 : 2;
   if (GetParam().jsonRpc) ASSERT_TRUE(until([&] { return !ends.empty(); }));
   full.acceptAll();
-  const AttemptEnd e = end();
+  const AttemptOutcome e = end();
   EXPECT_EQ(e.outcome, Outcome::connectFailed);
-  EXPECT_EQ(e.fault, Fault::withdrawn);
+  EXPECT_EQ(e.failureReason, FailureReason::cancelledBeforeSend);
   full.dropFillers();
   ASSERT_TRUE(until([&] { return full.taken.size() >= least && full.allEnded(); }));
   EXPECT_EQ(full.received(), 0u);
@@ -212,14 +212,14 @@
   if (GetParam().jsonRpc) return;  // EndTheCallsAsTheTableSays has it
   quiet = 600s;
   make();
-  pool->list(1, serve(), true);
+  pool->updateEndpoint(1, serve(), true);
   send();
   EXPECT_EQ(end().outcome, Outcome::served);
   send();
   http->connections.front()->reply(answerText(200, "", "once more"));
-  const AttemptEnd e = end();
+  const AttemptOutcome e = end();
   EXPECT_EQ(e.outcome, Outcome::connectFailed) << "it was never written";
-  EXPECT_EQ(e.fault, Fault::lostInWrite);
+  EXPECT_EQ(e.failureReason, FailureReason::brokenWhileWriting);
   EXPECT_EQ(http->requests.size(), 1u);
   EXPECT_EQ(now().open, 0u);
   send();
@@ -233,12 +233,12 @@
   for (const int way : {0, 1, 2, 3, 4, 5}) {
     SCOPED_TRACE(way);
     make();
-    pool->list(1, serve(), true);
+    pool->updateEndpoint(1, serve(), true);
     send();
     EXPECT_EQ(end().outcome, Outcome::served);
     const AttemptKey key = send();
     Outcome expected = Outcome::connectFailed;
-    if (way == 0) pool->withdraw(key);
+    if (way == 0) pool->cancelIfUnsent(key);
     if (way == 1) pool->cancel(key), expected = Outcome::cancelled;
     if (way == 2) http->connections.front()->close();
     if (way == 3) http->connections.front()->reset();
@@ -248,18 +248,18 @@
       limits.quiet = 1s;  // long enough that the list is told within it
       limits.connectTimeout = 60s;
       static_cast<HttpUpstream&>(*pool).setLimits(limits);
-      pool->withdraw(key);
+      pool->cancelIfUnsent(key);
       end();
       send();
       EXPECT_EQ(end().outcome, Outcome::served);
       send();
-      if (way == 4) pool->list(1, http->endpoint, false);
-      else pool->list(1, loopback(9), true);
+      if (way == 4) pool->updateEndpoint(1, http->endpoint, false);
+      else pool->updateEndpoint(1, loopback(9), true);
     }
     const std::size_t before = http->requests.size();
-    const AttemptEnd e = end();
+    const AttemptOutcome e = end();
     EXPECT_EQ(e.outcome, expected);
-    if (way >= 4) EXPECT_EQ(e.fault, Fault::withdrawn);
+    if (way >= 4) EXPECT_EQ(e.failureReason, FailureReason::cancelledBeforeSend);
     EXPECT_EQ(http->requests.size(), before);
     EXPECT_EQ(now().open, 0u);
   }
@@ -268,12 +268,12 @@
 TEST_P(PoolFacts, AConnectionThatHasRestedIsUsedAgain) {
   quiet = 30ms;
   make();
-  pool->list(1, serve(), true);
+  pool->updateEndpoint(1, serve(), true);
   for (int i = 0; i < 3; ++i) {
     send();
-    const AttemptEnd e = end();
+    const AttemptOutcome e = end();
     EXPECT_EQ(e.outcome, Outcome::served);
-    EXPECT_EQ(e.carrier, i == 0 ? Carrier::fresh : Carrier::reused);
+    EXPECT_EQ(e.connectionUse, i == 0 ? ConnectionUse::opened : ConnectionUse::reused);
   }
   EXPECT_EQ(now().open, 1u);
 }
@@ -286,7 +286,7 @@
     quiet = rested ? 0ms : 600s;
     make();
     http = std::make_unique<Peer>(io, nullptr);  // answers when it is told to
-    pool->list(1, http->endpoint, true);
+    pool->updateEndpoint(1, http->endpoint, true);
     for (int i = 0; i < 3; ++i) send();
     ASSERT_TRUE(until([&] { return http->requests.size() == 3; }));
     for (const auto& connection : http->connections) {
@@ -311,7 +311,7 @@
   make();
   FullListener full(io);
   ASSERT_TRUE(until([&] { return full.filled > 0; }));
-  pool->list(1, full.endpoint, true);
+  pool->updateEndpoint(1, full.endpoint, true);
   const auto begun = Clock::now();
   send(Duration(30s));
   ASSERT_TRUE(until([&] { return Clock::now() - begun > 100ms; }));
@@ -330,12 +330,12 @@
 TEST_P(PoolFacts, WhatIsDialledIsWithdrawnAndNeverWritten) {
   FullListener full(io);
   make();
-  pool->list(1, full.endpoint, true);
+  pool->updateEndpoint(1, full.endpoint, true);
   ASSERT_TRUE(until([&] { return full.filled > 0; }));
-  pool->withdraw(send());
-  const AttemptEnd e = end();
+  pool->cancelIfUnsent(send());
+  const AttemptOutcome e = end();
   EXPECT_EQ(e.outcome, Outcome::connectFailed);
-  EXPECT_EQ(e.fault, Fault::withdrawn);
+  EXPECT_EQ(e.failureReason, FailureReason::cancelledBeforeSend);
   EXPECT_EQ(now().open, 0u);
   full.takeAll();
   ASSERT_TRUE(until([&] { return full.allLeft(); }));
@@ -345,12 +345,12 @@
 TEST_P(PoolFacts, WhatIsHalfWrittenIsWithdrawnAndNeverWhole) {
   DeafListener deaf(io);
   make();
-  pool->list(1, deaf.endpoint, true);
+  pool->updateEndpoint(1, deaf.endpoint, true);
   const AttemptKey key = send(Duration(60s), kMoreThanFits);
-  ASSERT_TRUE(until([&] { return now().up == 1 && !deaf.taken.empty(); }));
-  EXPECT_EQ(pool->dispatches(), 0u);
-  pool->withdraw(key);
-  const AttemptEnd e = end();
+  ASSERT_TRUE(until([&] { return now().established == 1 && !deaf.taken.empty(); }));
+  EXPECT_EQ(pool->attemptsWritten(), 0u);
+  pool->cancelIfUnsent(key);
+  const AttemptOutcome e = end();
   EXPECT_EQ(e.outcome, Outcome::connectFailed) << "a host begins with the last byte: it never ran";
   EXPECT_EQ(now().open, 0u);
   deaf.readAll();
@@ -360,23 +360,23 @@
 
 TEST_P(PoolFacts, WhatIsWrittenIsNotWithdrawn) {
   make();
-  pool->list(1, serve(), true);
+  pool->updateEndpoint(1, serve(), true);
   const AttemptKey key = send();
-  ASSERT_TRUE(until([&] { return pool->dispatches() == 1; }));
-  pool->withdraw(key);
-  pool->withdraw({99, 0});
+  ASSERT_TRUE(until([&] { return pool->attemptsWritten() == 1; }));
+  pool->cancelIfUnsent(key);
+  pool->cancelIfUnsent({99, 0});
   EXPECT_EQ(end().outcome, Outcome::served);
 }
 
 TEST_P(PoolFacts, WhatIsNotWrittenInItsTimeNeverIs) {
   FullListener full(io);
   make();
-  pool->list(1, full.endpoint, true);
+  pool->updateEndpoint(1, full.endpoint, true);
   ASSERT_TRUE(until([&] { return full.filled > 0; }));
   send({60s, 30ms});
-  const AttemptEnd e = end();
+  const AttemptOutcome e = end();
   EXPECT_EQ(e.outcome, Outcome::connectFailed);
-  EXPECT_EQ(e.fault, Fault::outOfTime);
+  EXPECT_EQ(e.failureReason, FailureReason::attemptTimeout);
   full.takeAll();
   ASSERT_TRUE(until([&] { return full.allLeft(); }));
   EXPECT_EQ(full.received(), 0u);
@@ -385,11 +385,11 @@
 TEST_P(PoolFacts, WhatIsHalfWrittenWhenItsTimeIsOverNeverIsWhole) {
   DeafListener deaf(io);
   make();
-  pool->list(1, deaf.endpoint, true);
+  pool->updateEndpoint(1, deaf.endpoint, true);
   send({60s, 100ms}, kMoreThanFits);
-  const AttemptEnd e = end();
+  const AttemptOutcome e = end();
   EXPECT_EQ(e.outcome, Outcome::connectFailed);
-  EXPECT_EQ(e.fault, Fault::outOfTime);
+  EXPECT_EQ(e.failureReason, FailureReason::attemptTimeout);
   deaf.readAll();
   ASSERT_TRUE(until([&] { return deaf.taken.front()->closedByPeer; }));
   EXPECT_LT(deaf.taken.front()->received, kMoreThanFits);
@@ -398,24 +398,24 @@
 // Its time is over when the event loop comes to it: on a new connection and on one that rests.
 TEST_P(PoolFacts, ALateLoopWritesNothingPastItsTime) {
   make();
-  pool->list(1, serve(), true);
+  pool->updateEndpoint(1, serve(), true);
   for (const bool fresh : {true, false}) {
     SCOPED_TRACE(fresh);
     send({60s, Duration::zero()});
-    const AttemptEnd e = end();
+    const AttemptOutcome e = end();
     EXPECT_EQ(e.outcome, Outcome::connectFailed);
-    EXPECT_EQ(e.fault, Fault::outOfTime);
-    EXPECT_EQ(pool->dispatches(), fresh ? 0u : 1u);
+    EXPECT_EQ(e.failureReason, FailureReason::attemptTimeout);
+    EXPECT_EQ(pool->attemptsWritten(), fresh ? 0u : 1u);
     send();
     EXPECT_EQ(end().outcome, Outcome::served);
     if (!fresh) break;
   }
-  EXPECT_EQ(pool->dispatches(), 2u);
+  EXPECT_EQ(pool->attemptsWritten(), 2u);
 }
 
 TEST_P(PoolFacts, WhatIsWrittenInItsTimeHasAllOfItsTimeForTheAnswer) {
   make();
-  pool->list(1, serve(), true);
+  pool->updateEndpoint(1, serve(), true);
   std::shared_ptr<PeerConnection> held;
   if (GetParam().jsonRpc) return;  // UpstreamTest has it
   http->script = [&](PeerConnection& c) { held = c.shared_from_this(); };
@@ -433,18 +433,18 @@
 TEST_P(PoolFacts, WhatCannotBeReadIsSpoiltAndItsConnectionIsClosed) {
   make();
   instead = "no protocol at all\r\n\r\n";
-  pool->list(1, serve(), true);
+  pool->updateEndpoint(1, serve(), true);
   send();
-  const AttemptEnd e = end();
-  EXPECT_EQ(e.fault, Fault::spoilt);
+  const AttemptOutcome e = end();
+  EXPECT_EQ(e.failureReason, FailureReason::malformedResponse);
   EXPECT_TRUE(e.outcome == Outcome::error || e.outcome == Outcome::reset) << "it may have run";
-  EXPECT_FALSE(e.kept);
+  EXPECT_FALSE(e.connectionKept);
   EXPECT_EQ(now().open, 0u);
 }
 
 TEST_P(PoolFacts, TheEndOfAnIdleConnectionIsToldWithoutAnyAttempt) {
   make();
-  pool->list(1, serve(), true);
+  pool->updateEndpoint(1, serve(), true);
   send();
   end();
   ASSERT_EQ(now().open, 1u);
@@ -453,7 +453,7 @@
   else rpc->connections[0]->close();
   ASSERT_TRUE(until([&] { return !told.empty(); }));
   EXPECT_EQ(told.back().open, 0u);
-  EXPECT_EQ(told.back().up, 0u);
+  EXPECT_EQ(told.back().established, 0u);
 }
 
 INSTANTIATE_TEST_SUITE_P(All, PoolFacts, ::testing::Values(Setting{"Http", false}, Setting{"JsonRpc", true}),
--- a/tests/membership/pool_property_test.cpp
+++ b/tests/membership/pool_property_test.cpp
@@ -15,10 +15,10 @@
 namespace {
 
 using namespace std::chrono_literals;
-using ochrehill::HostId;
-using ochrehill::ListKind;
-using ochrehill::Phase;
-using ochrehill::Time;
+using policy::EndpointId;
+using policy::EndpointListKind;
+using policy::EndpointState;
+using policy::Timestamp;
 
 constexpr int kSteps = 300;
 constexpr int kHosts = 5;
@@ -81,12 +81,12 @@
 class Play : public LoopTest, public ::testing::WithParamInterface<unsigned> {
  protected:
   struct Clock final : Runtime {
-    Time at = 24h, wake{};
+    Timestamp at = 24h, wake{};
     int doubts = 0;
-    Time now() const override { return at; }
-    void wakeAt(Time t) override { wake = t; }
-    void subscribe() override {}
-    void doubtList() override { ++doubts; }
+    Timestamp now() const override { return at; }
+    void wakeAt(Timestamp t) override { wake = t; }
+    void pollEndpoints() override {}
+    void requestResync() override { ++doubts; }
     void log(const std::string&) override {}
   };
   struct Sink final : ReplySink {
@@ -98,27 +98,27 @@
   Clock clock;
   Sink sink;
   std::vector<std::unique_ptr<Host>> hosts;
-  std::vector<Phase> phases = std::vector<Phase>(kHosts, Phase::in);
+  std::vector<EndpointState> phases = std::vector<EndpointState>(kHosts, EndpointState::active);
   std::vector<std::string> names;  // as the list has them: a host may come back under a new one
   std::unique_ptr<HttpUpstream> pool;
   std::unique_ptr<Engine> engine;
   std::uint64_t calls = 0;
   int generation = 0;
 
-  static ochrehill::Settings settings() {
-    ochrehill::Settings s;
-    s.cancel = true;
+  static policy::Settings settings() {
+    policy::Settings s;
+    s.cancelAllowed = true;
     s.maxAttempts = 4;
-    s.coldTime = 2s;
-    s.fallWindow = 2s;
-    s.step = 5ms;
+    s.slowStartDuration = 2s;
+    s.collapseWindow = 2s;
+    s.eventInterval = 5ms;
     for (const auto& [name, effect] :
-         {std::pair{"read", ochrehill::Effect::retryable}, std::pair{"write", ochrehill::Effect::fragile}}) {
-      ochrehill::ClassSettings c;
+         {std::pair{"read", policy::Idempotency::safe}, std::pair{"write", policy::Idempotency::unsafe}}) {
+      policy::ClassSettings c;
       c.name = name;
-      c.effect = effect;
-      c.aim = 20s;
-      c.giveUp = 20s;
+      c.idempotency = effect;
+      c.latencyObjective = 20s;
+      c.clientTimeout = 20s;
       s.classes.push_back(c);
     }
     return s;
@@ -128,10 +128,11 @@
     HttpUpstream::Limits limits;
     limits.connections = kConnections;
     limits.connectTimeout = 20s;
-    pool = std::make_unique<HttpUpstream>(io, limits,
-                                          [this](AttemptEnd end) { engine->attemptEnded(std::move(end)); });
+    pool = std::make_unique<HttpUpstream>(
+        io, limits, [this](AttemptOutcome end) { engine->attemptEnded(std::move(end)); });
     engine = std::make_unique<Engine>(settings(), clock, *pool);
-    pool->onConnections([this](HostId h, HostConnections now) { engine->connectionsChanged(h, now); });
+    pool->onConnections(
+        [this](EndpointId h, EndpointConnections now) { engine->connectionsChanged(h, now); });
     for (int i = 0; i < kHosts; ++i) {
       hosts.push_back(std::make_unique<Host>(io, i));
       names.push_back(hosts.back()->uid);
@@ -143,32 +144,32 @@
   int below(int n) { return static_cast<int>(random() % static_cast<unsigned>(n)); }
 
   void tellAll() {
-    std::vector<ochrehill::HostEntry> entries;
+    std::vector<policy::EndpointInfo> entries;
     for (int i = 0; i < kHosts; ++i) {
-      ochrehill::HostEntry e;
+      policy::EndpointInfo e;
       e.address = names[static_cast<std::size_t>(i)];
-      e.phase = phases[static_cast<std::size_t>(i)];
+      e.state = phases[static_cast<std::size_t>(i)];
       entries.push_back(e);
     }
-    engine->tellHosts(ListKind::replace, entries, [&] {
-      pool->unlistAll();
+    engine->updateEndpoints(EndpointListKind::replace, entries, [&] {
+      pool->removeAllEndpoints();
       for (int i = 0; i < kHosts; ++i)
-        if (const HostId id = idOf(i); id != ochrehill::kNone)
-          pool->list(id, hosts[static_cast<std::size_t>(i)]->endpoint,
-                     phases[static_cast<std::size_t>(i)] == Phase::in);
+        if (const EndpointId id = idOf(i); id != policy::kNone)
+          pool->updateEndpoint(id, hosts[static_cast<std::size_t>(i)]->endpoint,
+                               phases[static_cast<std::size_t>(i)] == EndpointState::active);
     });
   }
-  HostId idOf(int host) const { return engine->findHost(names[static_cast<std::size_t>(host)]); }
+  EndpointId idOf(int host) const { return engine->findEndpoint(names[static_cast<std::size_t>(host)]); }
 
   void call() {
     Call call;
-    call.name = "c" + std::to_string(++calls);
-    call.facts.classIndex = static_cast<std::uint32_t>(below(2));
-    call.facts.left = 20s;
+    call.externalId = "c" + std::to_string(++calls);
+    call.attributes.classIndex = static_cast<std::uint32_t>(below(2));
+    call.attributes.timeRemaining = 20s;
     call.message.operation = "read";
     call.message.target = "/read";
-    call.message.body = call.name;
-    engine->take(std::move(call), sink, calls);
+    call.message.body = call.externalId;
+    engine->accept(std::move(call), sink, calls);
   }
 
   void step() {
@@ -184,12 +185,12 @@
       return;
     }
     if (what < 91) {  // the list: drained, or serving again
-      phases[i] = phases[i] == Phase::in ? Phase::draining : Phase::in;
+      phases[i] = phases[i] == EndpointState::active ? EndpointState::draining : EndpointState::active;
       return tellAll();
     }
     if (what < 93) {  // replaced by another one, at the same address
       names[i] = host.uid + "-" + std::to_string(++generation);
-      phases[i] = Phase::in;
+      phases[i] = EndpointState::active;
       return tellAll();
     }
     if (what < 96) {  // closes what is idle
@@ -219,17 +220,17 @@
   std::string believed() const {
     std::string text;
     for (int i = 0; i < kHosts; ++i) {
-      const HostId id = idOf(i);
-      if (id == ochrehill::kNone) {
+      const EndpointId id = idOf(i);
+      if (id == policy::kNone) {
         text += names[static_cast<std::size_t>(i)] + ": unknown\n";
         continue;
       }
       text += names[static_cast<std::size_t>(i)] + ": open " +
-              std::to_string(engine->balancer().connections(id)) + " pool " +
+              std::to_string(engine->loadBalancer().openConnections(id)) + " pool " +
               std::to_string(pool->connectionsOf(id).open) + " up " +
-              std::to_string(pool->connectionsOf(id).up) + "\n";
+              std::to_string(pool->connectionsOf(id).established) + "\n";
     }
-    return text + "calls " + std::to_string(engine->openCalls()) + "\n";
+    return text + "calls " + std::to_string(engine->activeCalls()) + "\n";
   }
 
   // Connections that the peers hold; those of hosts that were renamed belong to no listed one, so all
@@ -239,14 +240,14 @@
     for (int i = 0; i < kHosts; ++i) {
       up += hosts[static_cast<std::size_t>(i)]->up();
       held += hosts[static_cast<std::size_t>(i)]->held.size();
-      const HostId id = idOf(i);
-      if (id == ochrehill::kNone) continue;
-      const HostConnections pooled = pool->connectionsOf(id);
-      if (pooled.open != engine->balancer().connections(id)) return false;
-      if (pooled.open != pooled.up) return false;  // a dial that is not over
-      out += engine->balancer().attemptsOut(id);
+      const EndpointId id = idOf(i);
+      if (id == policy::kNone) continue;
+      const EndpointConnections pooled = pool->connectionsOf(id);
+      if (pooled.open != engine->loadBalancer().openConnections(id)) return false;
+      if (pooled.open != pooled.established) return false;  // a dial that is not over
+      out += engine->loadBalancer().attemptsInFlight(id);
     }
-    return up == pool->connections() && held >= out;
+    return up == pool->connectionCount() && held >= out;
   }
 };
 
@@ -255,14 +256,17 @@
     step();
     ASSERT_TRUE(until([&] { return agrees(); })) << "step " << i << "\n" << believed();
     for (int h = 0; h < kHosts; ++h) {
-      const HostId id = idOf(h);
-      if (id == ochrehill::kNone) continue;
+      const EndpointId id = idOf(h);
+      if (id == policy::kNone) continue;
       const auto at = static_cast<std::size_t>(h);
-      const Belief belief = engine->membership().of(id, clock.at);
-      ASSERT_EQ(belief.state == Standing::draining, phases[at] == Phase::draining) << "step " << i;
+      const EndpointStatus belief = engine->endpointHealth().statusOf(id, clock.at);
+      ASSERT_EQ(belief.condition == EndpointCondition::draining, phases[at] == EndpointState::draining)
+          << "step " << i;
       // Only one that has refused, and has taken no connection since but that of a probe, is out.
-      if (belief.state == Standing::unreachable) {
-        ASSERT_LE(pool->connectionsOf(id).up, std::min(engine->balancer().attemptsOut(id), 1u)) << i;
+      if (belief.condition == EndpointCondition::unreachable) {
+        ASSERT_LE(pool->connectionsOf(id).established,
+                  std::min(engine->loadBalancer().attemptsInFlight(id), 1u))
+            << i;
       }
     }
     ASSERT_EQ(engine->violations(), 0u);
@@ -270,7 +274,7 @@
   }
   // In the end all hosts serve: each is found again by real work alone, and each call has its one answer.
   for (int i = 0; i < kHosts; ++i) {
-    phases[static_cast<std::size_t>(i)] = Phase::in;
+    phases[static_cast<std::size_t>(i)] = EndpointState::active;
     if (!hosts[static_cast<std::size_t>(i)]->listening()) hosts[static_cast<std::size_t>(i)]->listen();
   }
   tellAll();
@@ -282,17 +286,18 @@
         c->reply(answerText(200, "", c->request.body()));
       }
   };
-  for (int i = 0; i < 2000 && (heard.size() < kHosts || engine->membership().unreachable() > 0); ++i) {
+  for (int i = 0; i < 2000 && (heard.size() < kHosts || engine->endpointHealth().unreachableCount() > 0);
+       ++i) {
     clock.at += 20ms;
     engine->wake();
     call();
     ASSERT_TRUE(until([&] {
       answerAll();
-      return engine->openCalls() == 0;
+      return engine->activeCalls() == 0;
     }));
   }
   EXPECT_EQ(heard.size(), static_cast<std::size_t>(kHosts));
-  EXPECT_EQ(engine->membership().unreachable(), 0u);
+  EXPECT_EQ(engine->endpointHealth().unreachableCount(), 0u);
   EXPECT_EQ(sink.replies.size(), calls);
   for (const auto& [ticket, n] : sink.replies) EXPECT_EQ(n, 1) << "call " << ticket;
 }
--- a/tests/bounds_test.cpp
+++ b/tests/policy/bounds_test.cpp
@@ -3,14 +3,14 @@
 
 #include "driver.hpp"
 
-namespace ochrehill::testing {
+namespace cairnjunction::policy::testing {
 namespace {
 
 Settings inTurnSettings() {
   Settings s = makeSettings();
-  s.classes[0].inTurn = true;  // retryable
-  s.classes[1].inTurn = true;  // fragile
-  s.keyRest = milliseconds(100);
+  s.classes[0].serializedByKey = true;  // retryable
+  s.classes[1].serializedByKey = true;  // fragile
+  s.keyCooldown = milliseconds(100);
   return s;
 }
 
@@ -45,8 +45,8 @@
 }
 
 TEST(Order, TheKeyRestsAfterEachUnsureOutcomeOnly) {
-  for (Outcome outcome : {Outcome::served, Outcome::error, Outcome::full, Outcome::timeout,
-                          Outcome::connectFailed, Outcome::reset, Outcome::cancelled, Outcome::moot}) {
+  for (Outcome outcome : {Outcome::served, Outcome::error, Outcome::overloaded, Outcome::timeout,
+                          Outcome::connectFailed, Outcome::reset, Outcome::cancelled, Outcome::notSent}) {
     Settings s = inTurnSettings();
     s.maxAttempts = 1;
     Driver d(s);
@@ -87,7 +87,7 @@
 TEST(Order, AnEndedRequestKeepsTheTurnUntilItsAttemptSettles) {
   Driver d(inTurnSettings());
   const RequestId a = d.request(0, seconds(1), 5), b = d.request(0, seconds(1), 5);
-  d.balancer.onClientGone(d.now, a);
+  d.balancer.onClientDisconnected(d.now, a);
   d.collect();
   d.advance(milliseconds(50));
   EXPECT_FALSE(wasSent(d, b));
@@ -101,7 +101,7 @@
   Driver d(inTurnSettings());
   d.request(0, seconds(1), 5);
   const RequestId b = d.request(0, seconds(1), 5), c = d.request(0, seconds(1), 5);
-  d.balancer.onClientGone(d.now, b);
+  d.balancer.onClientDisconnected(d.now, b);
   d.collect();
   d.serve(Sent(d.out.front()));
   EXPECT_FALSE(wasSent(d, b));
@@ -131,10 +131,10 @@
   const RequestId b = d.request(0, seconds(1), 5);
   const Sent first = d.out.front();
   for (int i = 0; i < 2; ++i) {
-    HostEntry e = makeHost(i, "east", i % 2);
-    if (d.balancer.findHost(e.address) == first.host) continue;
-    e.phase = Phase::draining;
-    d.balancer.onHosts(d.now, ListKind::update, {e});
+    EndpointInfo e = makeHost(i, "east", i % 2);
+    if (d.balancer.findEndpoint(e.address) == first.host) continue;
+    e.state = EndpointState::draining;
+    d.balancer.onEndpoints(d.now, EndpointListKind::update, {e});
   }
   d.serve(first);
   EXPECT_TRUE(wasSent(d, b));
@@ -145,22 +145,22 @@
 
 Settings boundSettings() {
   Settings s = makeSettings();
-  s.classes[0].zones = std::vector<std::string>{"west", "north"};
-  s.classes[1].kinds = std::vector<std::string>{"big"};
+  s.classes[0].allowedZones = std::vector<std::string>{"west", "north"};
+  s.classes[1].allowedMachineKinds = std::vector<std::string>{"big"};
   return s;
 }
 
 void addPlaces(Driver& d) {
-  std::vector<HostEntry> list = {makeHost(20, "west"), makeHost(21, "north"), makeHost(22, "east")};
-  list.back().kind = "big";
-  d.balancer.onHosts(d.now, ListKind::update, list);
+  std::vector<EndpointInfo> list = {makeHost(20, "west"), makeHost(21, "north"), makeHost(22, "east")};
+  list.back().machineKind = "big";
+  d.balancer.onEndpoints(d.now, EndpointListKind::update, list);
   d.collect();
 }
 
 TEST(Placement, EveryAttemptStaysWithinTheZones) {
   Driver d(boundSettings());
   addPlaces(d);
-  const std::set<HostId> open = {d.host(20), d.host(21)};
+  const std::set<EndpointId> open = {d.host(20), d.host(21)};
   for (int i = 0; i < 60; ++i) {
     d.request(0);
     while (!d.out.empty()) {
@@ -183,9 +183,9 @@
 TEST(Placement, WithAllItsHostsGoneARequestEndsAndOthersGoOn) {
   Driver d(boundSettings());
   addPlaces(d);
-  std::vector<HostEntry> gone = {makeHost(20, "west"), makeHost(21, "north")};
-  for (HostEntry& e : gone) e.phase = Phase::out;
-  d.balancer.onHosts(d.now, ListKind::update, gone);
+  std::vector<EndpointInfo> gone = {makeHost(20, "west"), makeHost(21, "north")};
+  for (EndpointInfo& e : gone) e.state = EndpointState::removed;
+  d.balancer.onEndpoints(d.now, EndpointListKind::update, gone);
   const RequestId bound = d.request(0), free = d.request(2);
   EXPECT_TRUE(d.refused(bound));
   EXPECT_FALSE(wasSent(d, bound));
@@ -195,7 +195,7 @@
 TEST(Placement, AListThatNamesNothingKnownAllowsNothing) {
   for (const std::vector<std::string>& list : {std::vector<std::string>{}, {"nowhere"}}) {
     Settings s = makeSettings();
-    s.classes[0].zones = list;
+    s.classes[0].allowedZones = list;
     Driver d(s);
     EXPECT_TRUE(d.refused(d.request(0)));
     EXPECT_TRUE(d.sent.empty());
@@ -203,4 +203,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehill::testing
+}  // namespace cairnjunction::policy::testing
--- a/tests/policy/configure_test.cpp
+++ b/tests/policy/configure_test.cpp
@@ -1,7 +1,7 @@
 // The decision module with settings that change while it works.
-#include "../driver.hpp"
+#include "driver.hpp"
 
-namespace ochrehill::testing {
+namespace cairnjunction::policy::testing {
 namespace {
 
 TEST(Configure, AnOpenRequestKeepsItsClassAndNewOnesHaveTheNewOne) {
@@ -9,13 +9,13 @@
   Driver d(settings, 3);
   settings = makeSettings();
   const std::uint32_t read = 0;
-  ASSERT_EQ(settings.classes[read].effect, Effect::retryable);
+  ASSERT_EQ(settings.classes[read].idempotency, Idempotency::safe);
   const RequestId old = d.request(read);
   const Sent first = d.lastSent();
   ASSERT_EQ(first.request, old);
   // The same class, stricter, at an index of its own; the old one stays for who holds it.
   ClassSettings strict = settings.classes[read];
-  strict.effect = Effect::fragile;
+  strict.idempotency = Idempotency::unsafe;
   const auto index = static_cast<std::uint32_t>(settings.classes.size());
   settings.classes.push_back(strict);
   d.balancer.configure(d.now, settings);
@@ -41,7 +41,7 @@
   settings.maxAttempts = 1;
   d.balancer.configure(d.now, settings);
   d.collect();
-  d.balancer.onResult(d.now, {id, first.attempt, first.host, Outcome::full, milliseconds(1), false});
+  d.balancer.onResult(d.now, {id, first.attempt, first.host, Outcome::overloaded, milliseconds(1), false});
   d.collect();
   EXPECT_EQ(d.lastSent().attempt, 0u);
   EXPECT_TRUE(d.refused(id));
@@ -77,7 +77,7 @@
   double cuts[2];
   for (const std::uint32_t most : {0u, 20u}) {
     Settings settings = makeSettings();
-    settings.inflightMost = most;
+    settings.maxInFlight = most;
     Driver d(settings, 10);
     for (int i = 0; i < 18; ++i) d.request(0);
     d.advance(milliseconds(150));
@@ -88,4 +88,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehill::testing
+}  // namespace cairnjunction::policy::testing
--- a/tests/driver.hpp
+++ b/tests/policy/driver.hpp
@@ -7,23 +7,23 @@
 #include <string>
 #include <vector>
 
-#include "ochrehill/ochrehill.hpp"
+#include "cairnjunction/load_balancer.hpp"
 
-namespace ochrehill::testing {
+namespace cairnjunction::policy::testing {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-inline ClassSettings makeClass(const std::string& name, Effect effect, double worth,
-                               Group group = Group::all) {
+inline ClassSettings makeClass(const std::string& name, Idempotency effect, double worth,
+                               DedupScope group = DedupScope::all) {
   ClassSettings c;
   c.name = name;
-  c.aim = milliseconds(400);
-  c.giveUp = milliseconds(1000);
-  c.window = milliseconds(800);
-  c.effect = effect;
-  c.group = group;
-  c.worth = worth;
+  c.latencyObjective = milliseconds(400);
+  c.clientTimeout = milliseconds(1000);
+  c.dedupWindow = milliseconds(800);
+  c.idempotency = effect;
+  c.dedupScope = group;
+  c.priorityWeight = worth;
   return c;
 }
 
@@ -31,22 +31,22 @@
   Settings s;
   s.seed = 7;
   s.zone = "east";
-  s.classes = {makeClass("read", Effect::retryable, 10), makeClass("write", Effect::fragile, 1),
-               makeClass("put", Effect::dedup, 1, Group::cell)};
-  s.cancel = true;
+  s.classes = {makeClass("read", Idempotency::safe, 10), makeClass("write", Idempotency::unsafe, 1),
+               makeClass("put", Idempotency::keyed, 1, DedupScope::cell)};
+  s.cancelAllowed = true;
   s.maxAttempts = 4;
-  s.step = milliseconds(5);
-  s.coldShare = 0.2;
-  s.coldTime = seconds(10);
-  s.fallWindow = seconds(2);
+  s.eventInterval = milliseconds(5);
+  s.slowStartInitialFraction = 0.2;
+  s.slowStartDuration = seconds(10);
+  s.collapseWindow = seconds(2);
   return s;
 }
 
-inline HostEntry makeHost(int number, const std::string& zone = "east", std::int64_t cell = 0) {
-  HostEntry e;
+inline EndpointInfo makeHost(int number, const std::string& zone = "east", std::int64_t cell = 0) {
+  EndpointInfo e;
   e.address = "host-" + std::to_string(100 + number);
   e.zone = zone;
-  e.kind = "std";
+  e.machineKind = "std";
   e.cell = cell;
   return e;
 }
@@ -54,17 +54,17 @@
 struct Sent {
   RequestId request;
   std::uint32_t attempt;
-  HostId host;
-  Time at;
+  EndpointId host;
+  Timestamp at;
   Duration limit;
 };
 
 class Driver {
  public:
   explicit Driver(const Settings& s, int hosts = 6) : now(seconds(100)), balancer(s, now) {
-    std::vector<HostEntry> list;
+    std::vector<EndpointInfo> list;
     for (int i = 0; i < hosts; ++i) list.push_back(makeHost(i, "east", i % 2));
-    balancer.onHosts(now, ListKind::restored, list);
+    balancer.onEndpoints(now, EndpointListKind::restored, list);
     collect();
   }
 
@@ -72,7 +72,7 @@
     Request q;
     q.id = ++last;
     q.classIndex = cls;
-    q.left = left;
+    q.timeRemaining = left;
     q.key = key;
     q.hasKey = key != 0;
     balancer.onRequest(now, q);
@@ -91,7 +91,7 @@
   }
   void serve(const Sent& s) { settle(s, Outcome::served, true); }
   void advance(Duration by, Duration step = milliseconds(5)) {
-    for (const Time end = now + by; now < end;) {
+    for (const Timestamp end = now + by; now < end;) {
       now += step;
       balancer.onWake(now);
       collect();
@@ -106,10 +106,10 @@
     }
   }
   Sent lastSent() const { return sent.back(); }
-  bool refused(RequestId id) const { return answers.count(id) && answers.at(id) == ActionKind::refuse; }
+  bool refused(RequestId id) const { return answers.count(id) && answers.at(id) == ActionKind::reject; }
   bool failed(RequestId id) const { return answers.count(id) && answers.at(id) == ActionKind::fail; }
-  HostId host(int number) const { return balancer.findHost(makeHost(number).address); }
-  std::size_t sentTo(HostId id) const {
+  EndpointId host(int number) const { return balancer.findEndpoint(makeHost(number).address); }
+  std::size_t sentTo(EndpointId id) const {
     std::size_t n = 0;
     for (const Sent& s : sent) n += s.host == id;
     return n;
@@ -127,9 +127,9 @@
   void collect() {
     for (Action& a : balancer.actions()) {
       if (a.kind == ActionKind::send) {
-        sent.push_back({a.request, a.attempt, a.host, now, a.span});
+        sent.push_back({a.request, a.attempt, a.endpoint, now, a.span});
         out.push_back(sent.back());
-      } else if (a.kind == ActionKind::refuse || a.kind == ActionKind::fail) {
+      } else if (a.kind == ActionKind::reject || a.kind == ActionKind::fail) {
         EXPECT_EQ(answers.count(a.request), 0u) << "answered twice";
         answers[a.request] = a.kind;
         retryAfter[a.request] = a.span;
@@ -139,8 +139,8 @@
     balancer.actions().clear();
   }
 
-  Time now;
-  Balancer balancer;
+  Timestamp now;
+  LoadBalancer balancer;
   RequestId last = 0;
   std::vector<Sent> sent, out;
   std::vector<Action> all;
@@ -148,4 +148,4 @@
   std::map<RequestId, Duration> retryAfter;
 };
 
-}  // namespace ochrehill::testing
+}  // namespace cairnjunction::policy::testing
--- a/tests/failures_test.cpp
+++ b/tests/policy/failures_test.cpp
@@ -1,7 +1,7 @@
 // One test for each failure met: what must not happen again.
 #include "driver.hpp"
 
-namespace ochrehill::testing {
+namespace cairnjunction::policy::testing {
 namespace {
 
 // Serves what is due: `time(host)` gives how long a host takes, zero for never.
@@ -19,7 +19,7 @@
 TEST(Health, AHostThatErrsAtOnceIsEjectedAndDoesNotLiftTheCut) {
   Driver d(makeSettings(), 6);
   d.warmUp(0, 60);
-  const HostId bad = d.host(2);
+  const EndpointId bad = d.host(2);
   d.forget();
   for (int i = 0; i < 600; ++i) {
     d.request(0);
@@ -39,7 +39,7 @@
 TEST(Health, AnEjectedHostReturnsByItself) {
   Driver d(makeSettings(), 6);
   d.warmUp(0, 60);
-  const HostId bad = d.host(2);
+  const EndpointId bad = d.host(2);
   bool broken = true;
   const auto run = [&](int n) {
     for (int i = 0; i < n; ++i) {
@@ -64,13 +64,13 @@
 TEST(Health, ASilentHostGetsNoMore) {
   Driver d(makeSettings(), 4);
   d.warmUp(0, 40);
-  const HostId lost = d.host(1);
+  const EndpointId lost = d.host(1);
   std::size_t early = 0;
   d.forget();
   for (int i = 0; i < 150; ++i) {
     d.request(1);
     d.advance(milliseconds(10));
-    serveDue(d, [&](HostId h) { return h == lost ? Duration{} : Duration(milliseconds(40)); });
+    serveDue(d, [&](EndpointId h) { return h == lost ? Duration{} : Duration(milliseconds(40)); });
     if (i == 30) early = d.sentTo(lost);
   }
   EXPECT_GT(early, 0u);
@@ -119,9 +119,9 @@
       else ++k;
     }
   }
-  HostEntry fresh = makeHost(0);
-  fresh.upSince = d.now;
-  d.balancer.onHosts(d.now, ListKind::update, {fresh});
+  EndpointInfo fresh = makeHost(0);
+  fresh.startedAt = d.now;
+  d.balancer.onEndpoints(d.now, EndpointListKind::update, {fresh});
   while (!d.out.empty()) d.serve(Sent(d.out.front()));
   d.forget();
   for (int i = 0; i < 100; ++i) {  // its budget is that of a cold host: less than one request at first
@@ -136,14 +136,14 @@
 TEST(Full, AHostThatIsAlwaysFullRests) {
   Driver d(makeSettings(), 4);
   d.warmUp(0, 40);
-  const HostId full = d.host(3);
+  const EndpointId full = d.host(3);
   d.forget();
   for (int i = 0; i < 400; ++i) {
     d.request(0);
     d.advance(milliseconds(5));
     for (std::size_t k = 0; k < d.out.size();) {
       const Sent s = d.out[k];
-      if (s.host == full) d.settle(s, Outcome::full, false);
+      if (s.host == full) d.settle(s, Outcome::overloaded, false);
       else if (d.now - s.at >= milliseconds(20)) d.serve(s);
       else ++k;
     }
@@ -155,12 +155,12 @@
 TEST(Deploy, TheLastWarmHostIsNotBuried) {
   Driver d(makeSettings(), 6);
   d.warmUp(0, 60);
-  std::vector<HostEntry> list = {makeHost(0)};
+  std::vector<EndpointInfo> list = {makeHost(0)};
   for (int i = 1; i < 6; ++i) {
     list.push_back(makeHost(10 + i));
-    list.back().upSince = d.now;
+    list.back().startedAt = d.now;
   }
-  d.balancer.onHosts(d.now, ListKind::replace, list);
+  d.balancer.onEndpoints(d.now, EndpointListKind::replace, list);
   for (int i = 0; i < 200; ++i) d.request(1);
   std::size_t held = 0;
   for (const Sent& s : d.out) held += s.host == d.host(0);
@@ -173,12 +173,12 @@
 TEST(Deploy, ColdHostsAloneGetTheirShare) {
   Driver d(makeSettings(), 4);
   d.warmUp(1, 600, milliseconds(5));
-  std::vector<HostEntry> list;
+  std::vector<EndpointInfo> list;
   for (int i = 10; i < 14; ++i) {
     list.push_back(makeHost(i));
-    list.back().upSince = d.now;
+    list.back().startedAt = d.now;
   }
-  d.balancer.onHosts(d.now, ListKind::replace, list);
+  d.balancer.onEndpoints(d.now, EndpointListKind::replace, list);
   d.collect();
   d.forget();
   d.warmUp(1, 400, milliseconds(5));  // two seconds
@@ -189,14 +189,14 @@
 TEST(Health, AShortPauseIsForgiven) {
   Driver d(makeSettings(), 3);
   d.warmUp(0, 60);
-  Time pausedUntil = d.now + milliseconds(900);
-  const HostId paused = d.host(0);
+  Timestamp pausedUntil = d.now + milliseconds(900);
+  const EndpointId paused = d.host(0);
   std::size_t before = 0;
   for (int i = 0; i < 400; ++i) {
     if (i == 200) before = d.sentTo(paused);
     d.request(1);
     d.advance(milliseconds(10));
-    serveDue(d, [&](HostId h) {
+    serveDue(d, [&](EndpointId h) {
       return h == paused && d.now < pausedUntil ? Duration{} : Duration(milliseconds(30));
     });
   }
@@ -207,7 +207,7 @@
 TEST(Health, AFlappingHostCostsLittle) {
   Driver d(makeSettings(), 5);
   d.warmUp(0, 60);
-  const HostId flapping = d.host(4);
+  const EndpointId flapping = d.host(4);
   std::size_t failures = 0;
   for (int i = 0; i < 2000; ++i) {
     d.request(1);
@@ -231,11 +231,11 @@
 // A whole zone out of reach: the reachable hosts serve all, and the zone comes back by itself.
 TEST(Zones, AZoneOutOfReachIsLeftAndReturns) {
   Driver d(makeSettings(), 0);
-  std::vector<HostEntry> list;
+  std::vector<EndpointInfo> list;
   for (int i = 0; i < 8; ++i) list.push_back(makeHost(i, i < 4 ? "east" : "west"));
-  d.balancer.onHosts(d.now, ListKind::replace, list);
+  d.balancer.onEndpoints(d.now, EndpointListKind::replace, list);
   bool cutOff = true;
-  const auto far = [&](HostId h) { return d.balancer.address(h) >= "host-104"; };
+  const auto far = [&](EndpointId h) { return d.balancer.address(h) >= "host-104"; };
   const auto run = [&](int n) {
     std::size_t lost = 0;
     for (int i = 0; i < n; ++i) {
@@ -274,7 +274,7 @@
     for (int i = 0; i < 150; ++i) high += d.refused(d.request(i % 10 == 0 ? 0 : 1));
     for (int i = 0; i < 20; ++i) {
       d.advance(milliseconds(10));
-      serveDue(d, [](HostId) { return Duration(milliseconds(30)); });
+      serveDue(d, [](EndpointId) { return Duration(milliseconds(30)); });
     }
   }
   EXPECT_GT(high, 0);
@@ -282,7 +282,7 @@
   for (int i = 0; i < 100; ++i) {
     after += d.refused(d.request(1));
     d.advance(milliseconds(10));
-    serveDue(d, [](HostId) { return Duration(milliseconds(30)); });
+    serveDue(d, [](EndpointId) { return Duration(milliseconds(30)); });
   }
   EXPECT_EQ(after, 0);
 }
@@ -311,13 +311,13 @@
   Driver d(makeSettings(), 8);
   int refused = 0;
   for (int phase = 0; phase < 3; ++phase) {
-    std::vector<HostEntry> list;
+    std::vector<EndpointInfo> list;
     for (int i = 0; i < (8 >> phase); ++i) list.push_back(makeHost(i));
-    d.balancer.onHosts(d.now, ListKind::replace, list);
+    d.balancer.onEndpoints(d.now, EndpointListKind::replace, list);
     for (int i = 0; i < 300; ++i) {
       refused += d.refused(d.request(1));
       d.advance(milliseconds(5 << phase));
-      serveDue(d, [](HostId) { return Duration(milliseconds(30)); });
+      serveDue(d, [](EndpointId) { return Duration(milliseconds(30)); });
     }
   }
   EXPECT_EQ(refused, 0);
@@ -326,20 +326,20 @@
 // A host whose pace was learned in trouble gets few requests; without new ones the pace would never change.
 TEST(Health, AnOldPaceFades) {
   Driver d(makeSettings(), 4);
-  const HostId slow = d.host(0);
+  const EndpointId slow = d.host(0);
   for (int i = 0; i < 600; ++i) {
     d.request(1);
     d.advance(milliseconds(10));
-    serveDue(d, [&](HostId h) { return Duration(milliseconds(h == slow ? 350 : 20)); });
+    serveDue(d, [&](EndpointId h) { return Duration(milliseconds(h == slow ? 350 : 20)); });
   }
   d.advance(seconds(1));
-  serveDue(d, [&](HostId) { return Duration(milliseconds(20)); });
+  serveDue(d, [&](EndpointId) { return Duration(milliseconds(20)); });
   d.advance(seconds(20));  // slower where requests are few
   d.forget();
   for (int i = 0; i < 100; ++i) {
     d.request(1);
     d.advance(milliseconds(20));
-    serveDue(d, [&](HostId) { return Duration(milliseconds(20)); });
+    serveDue(d, [&](EndpointId) { return Duration(milliseconds(20)); });
   }
   EXPECT_GT(d.sentTo(slow), 12u);
 }
@@ -362,16 +362,16 @@
   for (int i = 0; i < 200; ++i) {  // nothing is answered at all
     d.request(1);
     d.advance(milliseconds(20));
-    serveDue(d, [](HostId) { return Duration{}; });
+    serveDue(d, [](EndpointId) { return Duration{}; });
   }
   d.advance(seconds(2));
-  serveDue(d, [](HostId) { return Duration{}; });
+  serveDue(d, [](EndpointId) { return Duration{}; });
   int refused = 0;
   for (int i = 0; i < 400; ++i) {
     const RequestId id = d.request(1);
     if (i >= 300) refused += d.refused(id);
     d.advance(milliseconds(10));
-    serveDue(d, [](HostId) { return Duration(milliseconds(30)); });
+    serveDue(d, [](EndpointId) { return Duration(milliseconds(30)); });
   }
   EXPECT_EQ(refused, 0);
 }
@@ -386,7 +386,7 @@
       const RequestId id = d.request(1);
       if (i >= 500) refused += d.refused(id);
       d.advance(milliseconds(5));
-      serveDue(d, [&](HostId) { return Duration(milliseconds(time)); });
+      serveDue(d, [&](EndpointId) { return Duration(milliseconds(time)); });
     }
     if (time == 50) EXPECT_EQ(refused, 0);
     else EXPECT_GT(refused, 200);
@@ -402,7 +402,7 @@
   for (int i = 0; i < 4000; ++i) {
     d.request(1);
     d.advance(milliseconds(5));
-    serveDue(d, [](HostId) { return Duration(milliseconds(300)); });
+    serveDue(d, [](EndpointId) { return Duration(milliseconds(300)); });
     if (i >= 3500) held += static_cast<double>(d.out.size()) / 500;
   }
   EXPECT_GT(held, 15) << "eight hosts keep nearly two each";
@@ -415,7 +415,7 @@
   for (int i = 0; i < 35000; ++i) {  // a thousand requests a second: sixty held, then six times the time
     d.request(1);
     d.advance(milliseconds(1), milliseconds(1));
-    serveDue(d, [&](HostId) { return Duration(milliseconds(i < 5000 ? 60 : 360)); });
+    serveDue(d, [&](EndpointId) { return Duration(milliseconds(i < 5000 ? 60 : 360)); });
     if (i >= 30000) held += static_cast<double>(d.out.size()) / 5000;
   }
   EXPECT_GT(held, 40) << "four a host, the floor, would be thirty-two";
@@ -427,9 +427,9 @@
   int refused = 0, sends = 0;
   for (int i = 0; i < 450; ++i) {
     refused += d.refused(d.request(1));
-    while (++sends % 9 == 0) d.settle(d.lastSent(), Outcome::full, false);
+    while (++sends % 9 == 0) d.settle(d.lastSent(), Outcome::overloaded, false);
     d.advance(milliseconds(2), milliseconds(2));
-    serveDue(d, [](HostId) { return Duration(milliseconds(50)); });
+    serveDue(d, [](EndpointId) { return Duration(milliseconds(50)); });
   }
   EXPECT_GT(refused, 20) << "twenty-five held of a guess of fifty, but every ninth attempt finds a host full";
 }
@@ -438,7 +438,7 @@
 // maximum would sink to the floor and stay there while other gateways take its share.
 TEST(Cutoff, AGatewayLeftWithHeavyRequestsGrowsBack) {
   Settings set = makeSettings();
-  set.groupSize = 4;
+  set.gatewayCount = 4;
   Driver d(set, 8);
   std::map<RequestId, bool> heavy;
   int refused = 0;
@@ -468,9 +468,9 @@
     for (int i = 0; i < 3000; ++i) {
       const RequestId id = d.request(1);
       if (i >= 1000) refused[round] += d.refused(id);
-      while (round == 1 && ++sends % 15 == 0) d.settle(d.lastSent(), Outcome::full, false);
+      while (round == 1 && ++sends % 15 == 0) d.settle(d.lastSent(), Outcome::overloaded, false);
       d.advance(milliseconds(5));
-      serveDue(d, [&](HostId) { return Duration(milliseconds(105)); });
+      serveDue(d, [&](EndpointId) { return Duration(milliseconds(105)); });
     }
   }
   EXPECT_LT(refused[0], 100);
@@ -505,16 +505,16 @@
 // Beside many gateways every host looks idle; the own zone was overrun while the other stood free.
 TEST(Zones, AnOverrunOwnZoneYields) {
   Driver d(makeSettings(), 0);
-  d.balancer.onHosts(d.now, ListKind::replace,
-                     {makeHost(0), makeHost(1), makeHost(2, "west"), makeHost(3, "west")});
-  const auto time = [&](HostId h) {
+  d.balancer.onEndpoints(d.now, EndpointListKind::replace,
+                         {makeHost(0), makeHost(1), makeHost(2, "west"), makeHost(3, "west")});
+  const auto time = [&](EndpointId h) {
     return h == d.host(0) || h == d.host(1) ? milliseconds(120) : milliseconds(40);
   };
   for (int i = 0; i < 400; ++i) {
     if (i == 200) d.forget();
     d.request(0);
     d.advance(milliseconds(40));
-    serveDue(d, [&](HostId h) { return Duration(time(h)); });
+    serveDue(d, [&](EndpointId h) { return Duration(time(h)); });
   }
   EXPECT_GT(d.sentTo(d.host(2)) + d.sentTo(d.host(3)), 130u);
 }
@@ -545,21 +545,21 @@
 std::size_t closedBeforeSends(Duration idle) {
   Settings s = makeSettings();
   s.maxAttempts = 1;
-  s.idleClose = seconds(60);
+  s.idleTimeout = seconds(60);
   s.streamsPerConnection = 100;
   Driver d(s, 1);
   d.warmUp(0, 10);
   d.forget();
   for (int i = 0; i < 24; ++i) {
     const bool pause = i % 2 == 0;
-    const std::size_t closed = d.count(ActionKind::close);
+    const std::size_t closed = d.count(ActionKind::closeIdle);
     if (pause) d.advance(idle);
     d.request(0);
     if (d.out.empty()) continue;
-    const bool old = pause && d.count(ActionKind::close) == closed;
+    const bool old = pause && d.count(ActionKind::closeIdle) == closed;
     d.settle(Sent(d.out.front()), old ? Outcome::reset : Outcome::served, !old);
   }
-  return d.count(ActionKind::close);
+  return d.count(ActionKind::closeIdle);
 }
 
 TEST(IdleConnections, WhatIsLostOnThemIsLearnedAndTheyAreGivenBack) {
@@ -605,7 +605,7 @@
   s.maxAttempts = 1;
   Driver d(s, 6);
   d.warmUp(0, 60);
-  const HostId bad = d.host(0);
+  const EndpointId bad = d.host(0);
   std::size_t toBad[2] = {0, 0};
   for (int i = 0; i < 1200; ++i) {
     const std::uint32_t cls = i % 4 == 0 ? 1 : 0;
@@ -628,7 +628,7 @@
   s.maxAttempts = 1;
   Driver d(s, 6);
   d.warmUp(0, 60);
-  const HostId bad = d.host(0);
+  const EndpointId bad = d.host(0);
   std::size_t toBad[2] = {0, 0};
   for (int i = 0; i < 1200; ++i) {
     const std::uint32_t cls = i % 4 == 0 ? 1 : 0;
@@ -638,7 +638,7 @@
       const Sent sent = d.out.front();
       if (i >= 600 && sent.host == bad) ++toBad[cls];
       const bool full = cls == 1 && sent.host == bad;
-      d.settle(sent, full ? Outcome::full : Outcome::served, !full);
+      d.settle(sent, full ? Outcome::overloaded : Outcome::served, !full);
     }
   }
   EXPECT_LT(toBad[1], 10u);  // of 150; an even share would be 25
@@ -657,7 +657,7 @@
     const RequestId late = d.request(0, milliseconds(750));
     if (i >= rounds / 2) refused += d.refused(late);
     d.advance(milliseconds(100));
-    serveDue(d, [&](HostId) { return i < rounds / 4 ? Duration(milliseconds(300)) : answer; });
+    serveDue(d, [&](EndpointId) { return i < rounds / 4 ? Duration(milliseconds(300)) : answer; });
   }
   return refused;
 }
@@ -673,4 +673,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehill::testing
+}  // namespace cairnjunction::policy::testing
--- a/tests/bank_test.cpp
+++ b/tests/policy/many_gateways_test.cpp
@@ -6,28 +6,28 @@
 
 #include "driver.hpp"
 
-namespace ochrehill::testing {
+namespace cairnjunction::policy::testing {
 namespace {
 
 class Bank {
  public:
   Bank(Settings s, int gateways, int hosts) : hostCount(hosts) {
-    s.groupSize = static_cast<std::uint32_t>(gateways);
+    s.gatewayCount = static_cast<std::uint32_t>(gateways);
     for (int g = 0; g < gateways; ++g) {
-      s.number = static_cast<std::uint32_t>(g);
+      s.gatewayIndex = static_cast<std::uint32_t>(g);
       s.seed = static_cast<std::uint64_t>(g) + 1;
       drivers.push_back(std::make_unique<Driver>(s, 0));
     }
-    tell(ListKind::replace, 0, hosts);
+    tell(EndpointListKind::replace, 0, hosts);
   }
-  void tell(ListKind kind, int from, int to, Time upSince = {}) {
-    std::vector<HostEntry> list;
+  void tell(EndpointListKind kind, int from, int to, Timestamp upSince = {}) {
+    std::vector<EndpointInfo> list;
     for (int i = from; i < to; ++i) {
       list.push_back(makeHost(i));
-      list.back().upSince = upSince;
+      list.back().startedAt = upSince;
     }
     for (auto& d : drivers) {
-      d->balancer.onHosts(d->now, kind, list);
+      d->balancer.onEndpoints(d->now, kind, list);
       d->collect();
     }
     hostCount = std::max(hostCount, to);
@@ -55,7 +55,7 @@
     for (const auto& d : drivers) n += d->sentTo(d->host(host)) > 0;
     return n;
   }
-  Time now() const { return drivers.front()->now; }
+  Timestamp now() const { return drivers.front()->now; }
 
   std::vector<std::unique_ptr<Driver>> drivers;
   int hostCount;
@@ -66,14 +66,14 @@
 TEST(Bank, AColdHostIsNotPushedOverByManyGatewaysTogether) {
   for (bool everywhere : {false, true}) {  // where keys are kept warm, every gateway uses every host
     Settings s = makeSettings();
-    s.warmKeys = everywhere;
+    s.keyAffinity = everywhere;
     Bank bank(s, 200, 30);
     bank.run(10, 6);
     bank.forget();
     bank.run(2, 6);
     double warm = 0;  // in the two seconds of the rule
     for (int h = 0; h < 30; ++h) warm += static_cast<double>(bank.sentTo(h)) / 30;
-    bank.tell(ListKind::update, 30, 31, bank.now());
+    bank.tell(EndpointListKind::update, 30, 31, bank.now());
     std::size_t sum = 0;
     for (int window = 0; window < 3; ++window) {
       bank.forget();
@@ -89,9 +89,9 @@
 // After a restart of the whole bank nothing is known of any host, and the list may name cold ones at once.
 TEST(Bank, FreshGatewaysTogetherDoNotPushAColdHostOver) {
   Settings s = makeSettings();
-  s.warmKeys = true;
+  s.keyAffinity = true;
   Bank bank(s, 200, 30);
-  bank.tell(ListKind::update, 30, 31, bank.now());
+  bank.tell(EndpointListKind::update, 30, 31, bank.now());
   bank.run(2, 6);
   double warm = 0;
   for (int h = 0; h < 30; ++h) warm += static_cast<double>(bank.sentTo(h)) / 30;
@@ -114,7 +114,7 @@
 TEST(Bank, NewHostsAreUsedAndConnectionsToFormerOnesGivenBack) {
   Bank bank(makeSettings(), 320, 50);
   bank.run(3, 6);
-  bank.tell(ListKind::update, 50, 100);
+  bank.tell(EndpointListKind::update, 50, 100);
   bank.run(3, 6);
   bank.forget();
   bank.run(6, 6);
@@ -123,7 +123,7 @@
     all += bank.sentTo(h);
     if (h >= 50) fresh += bank.sentTo(h);
   }
-  for (const auto& d : bank.drivers) closed += d->count(ActionKind::close);
+  for (const auto& d : bank.drivers) closed += d->count(ActionKind::closeIdle);
   EXPECT_GT(fresh, all / 3);
   EXPECT_GT(closed, 320u) << "each gateway leaves some of its six for new ones";
 }
@@ -132,13 +132,13 @@
 // none may stay silent past the allowed time.
 TEST(Bank, GatewaysTurnedAwayByDiscoveryComeBackSpread) {
   Settings s = makeSettings();
-  s.askDiscovery = true;
-  s.askWithin = seconds(10);
+  s.pollDiscovery = true;
+  s.maxPollInterval = seconds(10);
   Bank bank(s, 200, 10);
   for (int round = 0; round < 4; ++round) {
     bank.forget();
     for (auto& d : bank.drivers) {
-      d->balancer.onHosts(d->now, ListKind::unavailable, {});
+      d->balancer.onEndpoints(d->now, EndpointListKind::unavailable, {});
       d->collect();
     }
     std::vector<std::size_t> asks;
@@ -147,7 +147,7 @@
       std::size_t sum = 0;
       for (auto& d : bank.drivers) {
         d->advance(milliseconds(100), milliseconds(20));
-        sum += std::min<std::size_t>(d->count(ActionKind::subscribe), 1);
+        sum += std::min<std::size_t>(d->count(ActionKind::pollEndpoints), 1);
       }
       asks.push_back(sum - before);
       before = sum;
@@ -166,13 +166,13 @@
   bank.run(10, 6, milliseconds(110));
   std::size_t refused = 0, asked = 0;
   for (auto& d : bank.drivers) {
-    refused += d->count(ActionKind::refuse);
-    asked += d->count(ActionKind::refuse) + d->sent.size();
+    refused += d->count(ActionKind::reject);
+    asked += d->count(ActionKind::reject) + d->sent.size();
   }
   EXPECT_LT(refused * 50, asked) << "hosts answer in a quarter of the aim";
 
   Settings s = makeSettings();
-  s.groupSize = 100;
+  s.gatewayCount = 100;
   Driver slow(s, 20);
   std::size_t before = 0;
   for (int i = 0; i < 600; ++i) {
@@ -184,17 +184,17 @@
       else if (slow.now - o.at >= milliseconds(380)) slow.settle(o, Outcome::timeout, false);
       else ++k;
     }
-    if (i == 300) before = slow.count(ActionKind::refuse);
+    if (i == 300) before = slow.count(ActionKind::reject);
   }
   EXPECT_LT(before, 6u);
-  EXPECT_GT(slow.count(ActionKind::refuse) - before, 100u) << "of 300, after nothing comes in time any more";
+  EXPECT_GT(slow.count(ActionKind::reject) - before, 100u) << "of 300, after nothing comes in time any more";
 }
 
 // A slow host that this gateway cannot know yet ate the whole aim of a request that may be repeated.
 TEST(SecondCopy, OnlyWhereAllowedAndOnlyForWhatMayBeRepeated) {
   for (bool parallel : {true, false}) {
     Settings s = makeSettings();
-    s.parallelTries = parallel;
+    s.hedging = parallel;
     Driver d(s, 6);
     for (std::uint32_t cls : {0u, 1u}) d.warmUp(cls, 60);
     for (std::uint32_t cls : {0u, 1u}) {
@@ -211,15 +211,15 @@
 // Popular keys heap up on one host unseen by gateways that each hold nothing there; the list tells of it.
 TEST(LiveWeights, ACrowdedHostLosesShareAndGetsItBack) {
   Settings s = makeSettings();
-  s.liveWeights = true;
+  s.loadReports = true;
   Driver d(s, 6);
   const auto run = [&](double weight) {
     d.forget();
     for (int i = 0; i < 400; ++i) {
       if (i % 10 == 0) {
-        HostEntry e = makeHost(2);
+        EndpointInfo e = makeHost(2);
         e.weight = weight;
-        d.balancer.onHosts(d.now, ListKind::update, {e});
+        d.balancer.onEndpoints(d.now, EndpointListKind::update, {e});
       }
       d.request(0);
       d.advance(milliseconds(40));
@@ -243,7 +243,7 @@
   d.forget();
   for (int i = 0; i < 20; ++i) {
     d.request(0);
-    while (!d.out.empty()) d.settle(Sent(d.out.front()), Outcome::full, false);
+    while (!d.out.empty()) d.settle(Sent(d.out.front()), Outcome::overloaded, false);
     d.advance(milliseconds(20));
   }
   EXPECT_LE(d.sent.size(), 20u + 13u);
@@ -251,13 +251,13 @@
 
 // A gateway that meets a host once in many seconds learns it too late; its machine kind is known sooner.
 TEST(Pace, ANewHostIsTakenForItsKind) {
-  std::vector<HostEntry> list;
+  std::vector<EndpointInfo> list;
   for (int i = 0; i < 12; ++i) {
     list.push_back(makeHost(i));
-    list.back().kind = i % 2 ? "slow" : "fast";
+    list.back().machineKind = i % 2 ? "slow" : "fast";
   }
   Driver d(makeSettings(), 0);
-  d.balancer.onHosts(d.now, ListKind::replace, {list.begin(), list.begin() + 8});
+  d.balancer.onEndpoints(d.now, EndpointListKind::replace, {list.begin(), list.begin() + 8});
   for (int i = 0; i < 400; ++i) {
     d.request(0);
     while (!d.out.empty()) {
@@ -268,7 +268,7 @@
     }
     d.advance(milliseconds(50), milliseconds(50));
   }
-  d.balancer.onHosts(d.now, ListKind::update, {list.begin() + 8, list.end()});
+  d.balancer.onEndpoints(d.now, EndpointListKind::update, {list.begin() + 8, list.end()});
   d.forget();
   for (int i = 0; i < 60; ++i) {
     d.request(0);
@@ -295,4 +295,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehill::testing
+}  // namespace cairnjunction::policy::testing
--- a/tests/policy/reach_test.cpp
+++ b/tests/policy/reachability_test.cpp
@@ -2,21 +2,21 @@
 // where nothing can be had.
 #include <set>
 
-#include "../driver.hpp"
+#include "driver.hpp"
 
-namespace ochrehill::testing {
+namespace cairnjunction::policy::testing {
 namespace {
 
 // Ends an attempt with what a pool knows beside.
-void settle(Driver& d, const Sent& s, Outcome outcome, Fault fault, Carrier carrier = Carrier::none,
-            Duration taken = milliseconds(1)) {
+void settle(Driver& d, const Sent& s, Outcome outcome, FailureReason fault,
+            ConnectionUse carrier = ConnectionUse::none, Duration taken = milliseconds(1)) {
   d.balancer.onResult(d.now, {s.request, s.attempt, s.host, outcome, taken, false, fault, carrier, false});
   std::erase_if(d.out, [&](const Sent& o) { return o.request == s.request && o.attempt == s.attempt; });
   d.collect();
 }
 
-void close(Driver& d, HostId host) {
-  d.balancer.onReach(d.now, host, Reach::closed);
+void close(Driver& d, EndpointId host) {
+  d.balancer.onReachability(d.now, host, Reachability::unreachable);
   d.collect();
 }
 
@@ -29,7 +29,7 @@
   close(d, d.host(3));
   const RequestId id = d.request(1);
   EXPECT_TRUE(d.refused(id)) << "given up at once, and harmless to repeat";
-  d.balancer.onReach(d.now, d.host(0), Reach::open);
+  d.balancer.onReachability(d.now, d.host(0), Reachability::reachable);
   d.collect();
   d.request(0);
   EXPECT_EQ(d.lastSent().host, d.host(0));
@@ -38,7 +38,7 @@
 TEST(Reach, AProbeIsOneAttemptAndNeverASecondTry) {
   Driver d(makeSettings(), 2);
   close(d, d.host(0));
-  d.balancer.onReach(d.now, d.host(0), Reach::probe);
+  d.balancer.onReachability(d.now, d.host(0), Reachability::probeOnly);
   std::size_t sent = 0;
   for (int i = 0; i < 40; ++i) {
     d.request(0);
@@ -49,8 +49,8 @@
   Driver e(makeSettings(), 2);
   close(e, e.host(0));
   e.request(0);
-  e.balancer.onReach(e.now, e.host(0), Reach::probe);
-  settle(e, Sent(e.out.front()), Outcome::connectFailed, Fault::lostInWrite);
+  e.balancer.onReachability(e.now, e.host(0), Reachability::probeOnly);
+  settle(e, Sent(e.out.front()), Outcome::connectFailed, FailureReason::brokenWhileWriting);
   EXPECT_EQ(e.lastSent().host, e.host(1));
 }
 
@@ -63,7 +63,8 @@
       d.request(1);
       d.advance(milliseconds(20));
       while (!d.out.empty())
-        settle(d, Sent(d.out.front()), Outcome::connectFailed, told ? Fault::refused : Fault::unknown);
+        settle(d, Sent(d.out.front()), Outcome::connectFailed,
+               told ? FailureReason::connectionRefused : FailureReason::unknown);
     }
     cuts[told] = d.balancer.cutoff();
   }
@@ -92,7 +93,7 @@
   int served = 0;
   for (int i = 0; i < 100; ++i) {
     d.request(1);  // unsafe: proven never to have run
-    settle(d, Sent(d.out.back()), Outcome::connectFailed, Fault::refused);
+    settle(d, Sent(d.out.back()), Outcome::connectFailed, FailureReason::connectionRefused);
     ASSERT_FALSE(d.out.empty());
     ++served;
     d.serve(Sent(d.out.back()));
@@ -106,7 +107,7 @@
   for (int h = 0; h < 4; ++h) d.balancer.onConnections(d.host(h), h == 2 ? 3 : 0);
   d.request(0);
   // Whichever it was sent to: none was left.
-  settle(d, Sent(d.out.back()), Outcome::connectFailed, Fault::noDescriptor);
+  settle(d, Sent(d.out.back()), Outcome::connectFailed, FailureReason::noDescriptor);
   ASSERT_EQ(d.out.size(), 1u);
   EXPECT_EQ(d.lastSent().host, d.host(2));
   for (int i = 0; i < 2; ++i) {
@@ -118,7 +119,7 @@
   EXPECT_EQ(d.balancer.cutoff(), 0);
   d.advance(milliseconds(30));
   while (!d.out.empty()) d.serve(Sent(d.out.front()));
-  std::set<HostId> used;
+  std::set<EndpointId> used;
   for (int i = 0; i < 40; ++i) {
     d.request(0);
     used.insert(d.lastSent().host);
@@ -136,7 +137,8 @@
     d.advance(milliseconds(10));
     while (!d.out.empty()) {
       const Sent s = d.out.front();
-      if (i % 3 == 0) settle(d, s, Outcome::error, Fault::spoilt, Carrier::reused, d.now - s.at);
+      if (i % 3 == 0)
+        settle(d, s, Outcome::error, FailureReason::malformedResponse, ConnectionUse::reused, d.now - s.at);
       else d.serve(s);
     }
   }
@@ -160,7 +162,8 @@
       if (sent.host % 2 == 0) {
         ++spoilt;
         late += i >= 500;
-        settle(d, sent, Outcome::error, Fault::spoilt, Carrier::reused, d.now - sent.at);
+        settle(d, sent, Outcome::error, FailureReason::malformedResponse, ConnectionUse::reused,
+               d.now - sent.at);
       } else {
         d.serve(sent);
       }
@@ -179,7 +182,7 @@
 
 TEST(Reach, AProcessSeenToBeNewIsColdWhateverTheListSays) {
   Settings s = makeSettings();
-  s.groupSize = 4;
+  s.gatewayCount = 4;
   Driver d(s, 4);
   for (int i = 0; i < 300; ++i) {
     d.request(0);
@@ -197,7 +200,7 @@
   };
   close(d, d.host(0));
   EXPECT_EQ(share(), 0u);
-  d.balancer.onReach(d.now, d.host(0), Reach::open, d.now);
+  d.balancer.onReachability(d.now, d.host(0), Reachability::reachable, d.now);
   const std::size_t cold = share();
   d.advance(seconds(10));
   share();
@@ -207,16 +210,17 @@
 
 TEST(Reach, TheCountOfConnectionsIsWhatWasTold) {
   Driver d(makeSettings(), 2);
-  const HostId h = d.host(0);
+  const EndpointId h = d.host(0);
   d.balancer.onConnections(h, 3);
-  EXPECT_EQ(d.balancer.connections(h), 3u);
+  EXPECT_EQ(d.balancer.openConnections(h), 3u);
   for (int i = 0; i < 10; ++i) d.request(0);
-  EXPECT_EQ(d.balancer.connections(h), 3u) << "no guesses once it is told";
-  while (!d.out.empty()) settle(d, Sent(d.out.front()), Outcome::reset, Fault::unknown, Carrier::reused);
-  EXPECT_EQ(d.balancer.connections(h), 3u);
-  EXPECT_EQ(d.balancer.connections(12345), 0u);
-  EXPECT_EQ(d.balancer.attemptsOut(12345), 0u);
+  EXPECT_EQ(d.balancer.openConnections(h), 3u) << "no guesses once it is told";
+  while (!d.out.empty())
+    settle(d, Sent(d.out.front()), Outcome::reset, FailureReason::unknown, ConnectionUse::reused);
+  EXPECT_EQ(d.balancer.openConnections(h), 3u);
+  EXPECT_EQ(d.balancer.openConnections(12345), 0u);
+  EXPECT_EQ(d.balancer.attemptsInFlight(12345), 0u);
 }
 
 }  // namespace
-}  // namespace ochrehill::testing
+}  // namespace cairnjunction::policy::testing
--- a/tests/policy/recorded_test.cpp
+++ b/tests/policy/recorded_test.cpp
@@ -21,9 +21,9 @@
 #include <utility>
 #include <vector>
 
-#include "../driver.hpp"
+#include "driver.hpp"
 
-namespace ochrehill::testing {
+namespace cairnjunction::policy::testing {
 namespace {
 
 constexpr int kEvents = 6000;  // of one scenario
@@ -71,42 +71,42 @@
 // A class for each effect and group, with different windows and placements.
 std::vector<ClassSettings> everyClass() {
   std::vector<ClassSettings> classes;
-  for (const Effect effect : {Effect::retryable, Effect::dedup, Effect::fragile})
-    for (const Group group : {Group::all, Group::zone, Group::cell}) {
+  for (const Idempotency effect : {Idempotency::safe, Idempotency::keyed, Idempotency::unsafe})
+    for (const DedupScope group : {DedupScope::all, DedupScope::zone, DedupScope::cell}) {
       const std::size_t number = classes.size();
       ClassSettings c =
           makeClass("class-" + std::to_string(number), effect, 1 + static_cast<double>(number), group);
-      c.window = milliseconds(200 + 200 * static_cast<int>(number % 4));
-      if (number % 4 == 1) c.zones = {"east"};
-      if (number % 4 == 2) c.kinds = {"std"};
-      if (number == 7) c.zones = {"west", "east"}, c.kinds = {"big"};
+      c.dedupWindow = milliseconds(200 + 200 * static_cast<int>(number % 4));
+      if (number % 4 == 1) c.allowedZones = {"east"};
+      if (number % 4 == 2) c.allowedMachineKinds = {"std"};
+      if (number == 7) c.allowedZones = {"west", "east"}, c.allowedMachineKinds = {"big"};
       classes.push_back(c);
     }
-  classes.push_back(makeClass("nowhere", Effect::retryable, 2));
-  classes.back().kinds.emplace();  // an empty list allows none
+  classes.push_back(makeClass("nowhere", Idempotency::safe, 2));
+  classes.back().allowedMachineKinds.emplace();  // an empty list allows none
   return classes;
 }
 
 void addMovingHosts(std::vector<Scenario>& all, const Settings& plain) {
   Scenario turns{"turns while hosts move", plain, 8, 0.1, 5000};
-  for (ClassSettings& c : turns.settings.classes) c.inTurn = true;
-  turns.settings.keyRest = milliseconds(100);
+  for (ClassSettings& c : turns.settings.classes) c.serializedByKey = true;
+  turns.settings.keyCooldown = milliseconds(100);
   turns.drainChance = 0.05;
   turns.replaceChance = 0.03;
   turns.subjects = {"waits", "drains", "replacements", "forgets"};
   addTwice(all, turns, 37);
 
   Scenario cold{"cold starts", plain, 10, 0.05, 3000};
-  cold.settings.coldTime = seconds(5);
-  cold.settings.coldShare = 0.1;
-  cold.settings.fallMultiple = 2;
-  cold.settings.fallWindow = seconds(1);
+  cold.settings.slowStartDuration = seconds(5);
+  cold.settings.slowStartInitialFraction = 0.1;
+  cold.settings.collapseLoadFactor = 2;
+  cold.settings.collapseWindow = seconds(1);
   cold.restartChance = 0.03;
   cold.subjects = {"restarts", "sends to cold hosts"};
   addTwice(all, cold, 53);
 
   Scenario reach{"reach and exact connections", plain, 10, 0.05, 3000};
-  reach.settings.idleClose = milliseconds(300);
+  reach.settings.idleTimeout = milliseconds(300);
   reach.reachChance = 0.08;
   reach.exactCounts = true;
   reach.subjects = {"reach closed", "reach probe", "reach open",
@@ -114,14 +114,15 @@
   addTwice(all, reach, 43);
 
   Scenario idle{"idle connections", plain, 40, 0.1, 30000};
-  idle.settings.groupSize = 24;  // so some hosts are not its own, and those lose their connections when idle
-  idle.settings.number = 5;
+  idle.settings.gatewayCount =
+      24;  // so some hosts are not its own, and those lose their connections when idle
+  idle.settings.gatewayIndex = 5;
   idle.exactCounts = true;
   idle.subjects = {"closes", "connection counts told"};
   addTwice(all, idle, 79);
 
   Scenario load{"live load", plain, 12, 0.05, 3000};
-  load.settings.liveWeights = true;
+  load.settings.loadReports = true;
   load.hostsChange = false;  // keeps the median host at no load, see the top
   load.restartChance = 0.01;
   load.replaceChance = 0.01;
@@ -132,14 +133,14 @@
 
 void addRequestsAndAttempts(std::vector<Scenario>& all, const Settings& plain) {
   Scenario hedged{"hedging and cancel", plain, 12, 0.02, 4000};
-  hedged.settings.parallelTries = true;
+  hedged.settings.hedging = true;
   hedged.slowShare = 0.1;
   hedged.slowTime = milliseconds(300);
   hedged.subjects = {"hedges", "cancels"};
   addTwice(all, hedged, 29);
 
   Scenario warm{"warm keys alone", plain, 12, 0.05, 3000};
-  warm.settings.warmKeys = true;
+  warm.settings.keyAffinity = true;
   warm.subjects = {"key returns"};
   addTwice(all, warm, 31);
 
@@ -149,7 +150,7 @@
   addTwice(all, faults, 47);
 
   Scenario bounds{"bounds", plain, 6, 0.2, 3000};
-  bounds.settings.inflightMost = 8;
+  bounds.settings.maxInFlight = 8;
   bounds.hostsBounded = true;
   bounds.triesBounded = true;
   bounds.subjects = {"hosts at their most", "requests at their most", "refused", "events while cutting"};
@@ -169,10 +170,10 @@
   addTwice(all, placed, 67);
 
   Scenario late{"late answers", plain, 4, 0.03, 1200};
-  late.settings.classes[0].lateShare = 0.25;
-  late.settings.classes[0].aimStretch = 2;
-  late.settings.classes[1].lateShare = 0.75;
-  late.settings.classes[2].aimStretch = 0.5;
+  late.settings.classes[0].lateValueFraction = 0.25;
+  late.settings.classes[0].objectiveCostFactor = 2;
+  late.settings.classes[1].lateValueFraction = 0.75;
+  late.settings.classes[2].objectiveCostFactor = 0.5;
   late.slowShare = 0.1;
   late.slowTime = milliseconds(450);  // past the aim
   late.subjects = {"late answers", "events while cutting"};
@@ -182,8 +183,8 @@
   quota.settings.tenants = {{"mill", 5}, {"yard", 100}, {"free", 0}};
   quota.slowShare = 0.2;  // so the hosts hold enough for a cutoff
   quota.slowTime = milliseconds(200);
-  quota.settings.overShareWorth = 0.3;
-  quota.settings.retryAfter = true;
+  quota.settings.overQuotaWeightFactor = 0.3;
+  quota.settings.retryAfterAllowed = true;
   quota.settings.maxRetryAfter = seconds(1);
   quota.subjects = {"refused", "events while cutting", "requests over quota"};
   addTwice(all, quota, 73);
@@ -206,36 +207,36 @@
 std::vector<Scenario> scenarios() {
   std::vector<Scenario> all;
   Settings plain = makeSettings();
-  plain.askDiscovery = true;
-  plain.askWithin = seconds(5);
+  plain.pollDiscovery = true;
+  plain.maxPollInterval = seconds(5);
   all.push_back({"plain", plain});
   Settings many = plain;
   many.seed = 11;
-  many.groupSize = 24;
-  many.number = 17;
-  many.retryAfter = true;
+  many.gatewayCount = 24;
+  many.gatewayIndex = 17;
+  many.retryAfterAllowed = true;
   many.maxRetryAfter = seconds(2);
-  many.idleClose = seconds(3);
+  many.idleTimeout = seconds(3);
   all.push_back({"one of many", many, 40, 0.1, 2000});
   Settings turns = plain;
   turns.seed = 13;
-  for (ClassSettings& c : turns.classes) c.inTurn = true;
-  turns.keyRest = milliseconds(200);
+  for (ClassSettings& c : turns.classes) c.serializedByKey = true;
+  turns.keyCooldown = milliseconds(200);
   turns.tenants = {{"mill", 20}, {"yard", 0}};
   all.push_back({"turns and tenants", turns, 6, 0.1, 6000});
   Settings copies = plain;
   copies.seed = 17;
-  copies.parallelTries = true;
-  copies.warmKeys = true;
+  copies.hedging = true;
+  copies.keyAffinity = true;
   copies.streamsPerConnection = 4;
   all.push_back({"copies and warm keys", copies, 12, 0.02, 4000});
   Settings bad = plain;
   bad.seed = 19;
-  bad.idleClose = seconds(1);
+  bad.idleTimeout = seconds(1);
   all.push_back({"half of it fails", bad, 8, 0.5, 3000});
   Settings late = plain;
   late.seed = 23;
-  for (ClassSettings& c : late.classes) c.lateShare = 0.5, c.aimStretch = 0.5;
+  for (ClassSettings& c : late.classes) c.lateValueFraction = 0.5, c.objectiveCostFactor = 0.5;
   all.push_back({"crowded", late, 3, 0.03, 700});
   for (const std::uint64_t seed : {101, 102, 103, 104, 105}) {
     all.push_back({"plain, seed " + std::to_string(seed), plain});
@@ -263,7 +264,7 @@
     number(a.kind);
     number(a.request);
     number(a.attempt);
-    number(a.host);
+    number(a.endpoint);
     number(a.span.count());
   }
   std::uint64_t value() const { return value_; }
@@ -275,10 +276,10 @@
 struct OutAttempt {
   RequestId request;
   std::uint32_t attempt;
-  HostId host;
-  Time at;
+  EndpointId host;
+  Timestamp at;
   Duration limit;
-  Time notBefore;  // a slow one is not answered earlier
+  Timestamp notBefore;  // a slow one is not answered earlier
 };
 
 // The world around the module: hosts that come, restart, drain and go, attempts that end in any way.
@@ -287,7 +288,7 @@
   explicit Play(const Scenario& s)
       : scenario_(s), settings_(s.settings), engine_(s.settings.seed * 101), balancer_(s.settings, now_) {
     for (int i = 0; i < s.hosts; ++i) add();
-    tell(ListKind::restored, hosts_);
+    tell(EndpointListKind::restored, hosts_);
   }
 
   std::string run() {
@@ -322,20 +323,20 @@
   bool happens(double p) { return p > 0 && chance(p); }  // draws only if it may
 
   void add() {
-    HostEntry e = makeHost(next_, next_ % 3 == 0 ? "west" : "east", next_ % 2);
-    e.kind = next_ % 4 == 0 ? "big" : "std";
+    EndpointInfo e = makeHost(next_, next_ % 3 == 0 ? "west" : "east", next_ % 2);
+    e.machineKind = next_ % 4 == 0 ? "big" : "std";
     e.weight = next_ % 4 == 0 ? 2 : 1;
     if (scenario_.loadChance > 0) e.weight = kNoLoad;
-    if (scenario_.hostsBounded) e.attemptsMost = 1 + next_ % 2;
-    e.upSince = chance(0.3) ? now_ - seconds(below(15)) : Time{};
+    if (scenario_.hostsBounded) e.maxInFlight = 1 + next_ % 2;
+    e.startedAt = chance(0.3) ? now_ - seconds(below(15)) : Timestamp{};
     ++next_;
     hosts_.push_back(e);
   }
 
   void step() {
     now_ += std::chrono::microseconds(1 + below(static_cast<std::size_t>(2 * scenario_.meanGapUs)));
-    if (wake_ > Time{} && wake_ <= now_) {
-      wake_ = Time{};
+    if (wake_ > Timestamp{} && wake_ <= now_) {
+      wake_ = Timestamp{};
       balancer_.onWake(now_);
       collect();
     }
@@ -347,8 +348,8 @@
     else if (what < 983) startAnswer();
     else if (what < 997) {
       if (scenario_.hostsChange) change();
-    } else if (what < 999) balancer_.onHosts(now_, ListKind::unavailable, {});
-    else tell(ListKind::replace, hosts_);
+    } else if (what < 999) balancer_.onEndpoints(now_, EndpointListKind::unavailable, {});
+    else tell(EndpointListKind::replace, hosts_);
     collect();
     beside();
   }
@@ -372,11 +373,11 @@
     q.classIndex = static_cast<std::uint32_t>(below(settings_.classes.size() + 1));
     if (!settings_.tenants.empty())
       q.tenantIndex = static_cast<std::uint32_t>(below(settings_.tenants.size()));
-    q.left = chance(0.8) ? Duration(seconds(1)) : milliseconds(100 + below(900));
-    q.cost = chance(0.5) ? Duration{} : milliseconds(1 + below(40));
+    q.timeRemaining = chance(0.8) ? Duration(seconds(1)) : milliseconds(100 + below(900));
+    q.expectedCost = chance(0.5) ? Duration{} : milliseconds(1 + below(40));
     q.hasKey = chance(0.6);
     q.key = q.hasKey ? 1 + below(30) : 0;
-    if (scenario_.triesBounded) q.attemptsMost = 1 + static_cast<std::uint32_t>(below(3));
+    if (scenario_.triesBounded) q.maxAttempts = 1 + static_cast<std::uint32_t>(below(3));
     requests_[q.id] = q;
     if (q.classIndex < settings_.classes.size()) open_.insert(q.id);
     noteQuota(q);
@@ -396,12 +397,12 @@
   void leave() {
     const RequestId id = 1 + below(last_);
     left_.insert(id);
-    balancer_.onClientGone(now_, id);
+    balancer_.onClientDisconnected(now_, id);
   }
 
   void startAnswer() {
     started_.insert({out_.back().request, out_.back().attempt});
-    balancer_.onAnswerStarted(now_, out_.back().request, out_.back().attempt);
+    balancer_.onResponseStarted(now_, out_.back().request, out_.back().attempt);
   }
 
   void settle() {
@@ -416,18 +417,18 @@
     AttemptResult a;
     a.request = sent.request;
     a.attempt = sent.attempt;
-    a.host = sent.host;
-    a.taken = now_ - sent.at;
+    a.endpoint = sent.host;
+    a.elapsed = now_ - sent.at;
     if (cancelled_.erase(name) > 0 && chance(0.7)) a.outcome = Outcome::cancelled;
     else if (now_ - sent.at >= sent.limit) a.outcome = Outcome::timeout;
     else if (chance(scenario_.failing)) a.outcome = failure();
     if (scenario_.faultsTold) tellFault(a);
-    a.terminal = a.outcome == Outcome::served && !over_.count(sent.request);
-    if (scenario_.startedEnds && started_.count(name)) a.terminal = true;
-    if (a.terminal) over_[sent.request] = true;
-    if (a.outcome == Outcome::served && a.taken > milliseconds(400)) ++counts_["late answers"];
+    a.endsRequest = a.outcome == Outcome::served && !over_.count(sent.request);
+    if (scenario_.startedEnds && started_.count(name)) a.endsRequest = true;
+    if (a.endsRequest) over_[sent.request] = true;
+    if (a.outcome == Outcome::served && a.elapsed > milliseconds(400)) ++counts_["late answers"];
     balancer_.onResult(now_, a);
-    if (a.outcome == Outcome::reset || a.outcome == Outcome::timeout) loseConnection(a.host);
+    if (a.outcome == Outcome::reset || a.outcome == Outcome::timeout) loseConnection(a.endpoint);
   }
 
   bool mayEnd(const OutAttempt& o) const {
@@ -437,113 +438,122 @@
   Outcome failure() {
     if (scenario_.faultsTold) {
       constexpr Outcome kinds[] = {Outcome::connectFailed, Outcome::connectFailed, Outcome::connectFailed,
-                                   Outcome::reset,         Outcome::error,         Outcome::moot,
-                                   Outcome::full,          Outcome::timeout};
+                                   Outcome::reset,         Outcome::error,         Outcome::notSent,
+                                   Outcome::overloaded,    Outcome::timeout};
       return kinds[below(8)];
     }
-    constexpr Outcome kinds[] = {Outcome::error, Outcome::full,  Outcome::full,     Outcome::timeout,
-                                 Outcome::reset, Outcome::error, Outcome::rejected, Outcome::connectFailed};
+    constexpr Outcome kinds[] = {Outcome::error,          Outcome::overloaded,   Outcome::overloaded,
+                                 Outcome::timeout,        Outcome::reset,        Outcome::error,
+                                 Outcome::invalidRequest, Outcome::connectFailed};
     return kinds[below(8)];
   }
 
   // Says why it ended so and what carried it, as far as that goes with the outcome.
   void tellFault(AttemptResult& a) {
-    const Carrier connected = chance(0.4) ? Carrier::fresh : Carrier::reused;
+    const ConnectionUse connected = chance(0.4) ? ConnectionUse::opened : ConnectionUse::reused;
     switch (a.outcome) {
-      case Outcome::moot: a.carrier = Carrier::none; break;
+      case Outcome::notSent: a.connectionUse = ConnectionUse::none; break;
       case Outcome::connectFailed: {
-        constexpr Fault faults[] = {Fault::unknown,     Fault::unknown,   Fault::refused,
-                                    Fault::dialSilent,  Fault::outOfTime, Fault::noDescriptor,
-                                    Fault::lostInWrite, Fault::withdrawn};
-        a.fault = faults[below(8)];
-        a.carrier = a.fault == Fault::lostInWrite ? connected : Carrier::none;
+        constexpr FailureReason faults[] = {FailureReason::unknown,
+                                            FailureReason::unknown,
+                                            FailureReason::connectionRefused,
+                                            FailureReason::connectTimeout,
+                                            FailureReason::attemptTimeout,
+                                            FailureReason::noDescriptor,
+                                            FailureReason::brokenWhileWriting,
+                                            FailureReason::cancelledBeforeSend};
+        a.failureReason = faults[below(8)];
+        a.connectionUse =
+            a.failureReason == FailureReason::brokenWhileWriting ? connected : ConnectionUse::none;
         break;
       }
       case Outcome::error:
       case Outcome::reset:
-        if (chance(0.5)) a.fault = Fault::spoilt;
+        if (chance(0.5)) a.failureReason = FailureReason::malformedResponse;
         [[fallthrough]];
-      default: a.carrier = connected, a.kept = a.outcome != Outcome::reset && chance(0.8);
+      default: a.connectionUse = connected, a.connectionKept = a.outcome != Outcome::reset && chance(0.8);
     }
-    if (a.outcome == Outcome::moot) ++counts_["moot"];
-    if (a.fault != Fault::unknown) ++counts_["faults told"];
+    if (a.outcome == Outcome::notSent) ++counts_["moot"];
+    if (a.failureReason != FailureReason::unknown) ++counts_["faults told"];
     ++counts_["carriers told"];
   }
 
   // --- hosts
 
   void change() {
-    HostEntry& e = hosts_[below(hosts_.size())];
+    EndpointInfo& e = hosts_[below(hosts_.size())];
     switch (below(4)) {
-      case 0: e.phase = Phase::draining; break;
-      case 1: e.phase = Phase::in, e.upSince = now_; break;
-      case 2: e.phase = Phase::in; break;
+      case 0: e.state = EndpointState::draining; break;
+      case 1: e.state = EndpointState::active, e.startedAt = now_; break;
+      case 2: e.state = EndpointState::active; break;
       default: return replace(e);
     }
-    tell(ListKind::update, {e});
+    tell(EndpointListKind::update, {e});
   }
 
-  void replace(const HostEntry& e) {
-    HostEntry gone = e;
-    gone.phase = Phase::out;
+  void replace(const EndpointInfo& e) {
+    EndpointInfo gone = e;
+    gone.state = EndpointState::removed;
     hosts_.erase(hosts_.begin() + (&e - hosts_.data()));
     add();
     ++counts_["replacements"];
-    tell(ListKind::update, {gone, hosts_.back()});
+    tell(EndpointListKind::update, {gone, hosts_.back()});
   }
 
   void drain() {
-    HostEntry& e = hosts_[below(hosts_.size())];
-    e.phase = e.phase == Phase::in ? Phase::draining : Phase::in;
-    if (e.phase == Phase::draining) ++counts_["drains"];
-    tell(ListKind::update, {e});
+    EndpointInfo& e = hosts_[below(hosts_.size())];
+    e.state = e.state == EndpointState::active ? EndpointState::draining : EndpointState::active;
+    if (e.state == EndpointState::draining) ++counts_["drains"];
+    tell(EndpointListKind::update, {e});
   }
 
   void restart() {
-    HostEntry& e = hosts_[below(hosts_.size())];
-    e.upSince = now_;
+    EndpointInfo& e = hosts_[below(hosts_.size())];
+    e.startedAt = now_;
     ++counts_["restarts"];
-    tell(ListKind::update, {e});
+    tell(EndpointListKind::update, {e});
   }
 
   // At most a quarter of the hosts has a load, so the median host has none.
   void reportLoad() {
-    HostEntry& e = hosts_[below(hosts_.size())];
+    EndpointInfo& e = hosts_[below(hosts_.size())];
     std::size_t loaded = 0;
-    for (const HostEntry& h : hosts_) loaded += h.weight < kNoLoad;
+    for (const EndpointInfo& h : hosts_) loaded += h.weight < kNoLoad;
     if (e.weight < kNoLoad) e.weight = kNoLoad;
     else if (loaded < hosts_.size() / 4) e.weight = chance(0.5) ? kLoaded : kVeryLoaded;
     if (e.weight < kNoLoad) ++counts_["load told"];
-    tell(ListKind::update, {e});
+    tell(EndpointListKind::update, {e});
   }
 
-  void tell(ListKind kind, const std::vector<HostEntry>& entries) { balancer_.onHosts(now_, kind, entries); }
+  void tell(EndpointListKind kind, const std::vector<EndpointInfo>& entries) {
+    balancer_.onEndpoints(now_, kind, entries);
+  }
 
   void changeReach() {
-    const HostId host = balancer_.findHost(hosts_[below(hosts_.size())].address);
+    const EndpointId host = balancer_.findEndpoint(hosts_[below(hosts_.size())].address);
     const std::size_t what = below(10);
-    Reach reach = Reach::open;
-    Time startedAfter{};
-    if (what < 2) reach = Reach::closed, ++counts_["reach closed"];
-    else if (what < 5) reach = Reach::probe, ++counts_["reach probe"];
+    Reachability reach = Reachability::reachable;
+    Timestamp startedAfter{};
+    if (what < 2) reach = Reachability::unreachable, ++counts_["reach closed"];
+    else if (what < 5) reach = Reachability::probeOnly, ++counts_["reach probe"];
     else if (what < 8) ++counts_["reach open"];
     else startedAfter = now_ - milliseconds(below(3000)), ++counts_["starts seen"];
     reach_[host] = reach;
-    balancer_.onReach(now_, host, reach, startedAfter);
+    balancer_.onReachability(now_, host, reach, startedAfter);
   }
 
   // --- connections, where their count is told
 
-  void setConnections(HostId host, std::uint32_t open) {
+  void setConnections(EndpointId host, std::uint32_t open) {
     if (!scenario_.exactCounts || connections_[host] == open) return;
     connections_[host] = open;
     ++counts_["connection counts told"];
     balancer_.onConnections(host, open);
   }
-  void openFor(HostId host) {
-    setConnections(host, std::max(connections_[host], balancer_.attemptsOut(host)));
+  void openFor(EndpointId host) {
+    setConnections(host, std::max(connections_[host], balancer_.attemptsInFlight(host)));
   }
-  void loseConnection(HostId host) {
+  void loseConnection(EndpointId host) {
     if (connections_[host] > 0) setConnections(host, connections_[host] - 1);
   }
 
@@ -571,16 +581,16 @@
       case 4: changeClass(next, used); break;
       case 5: changeTenants(next); break;
       case 6:
-        next.retryAfter = !next.retryAfter;
+        next.retryAfterAllowed = !next.retryAfterAllowed;
         next.maxRetryAfter = milliseconds(below(3000));
-        next.cancel = chance(0.7);
+        next.cancelAllowed = chance(0.7);
         break;
       default:
         next.maxAttempts = 1 + static_cast<std::uint32_t>(below(4));
-        next.parallelTries = chance(0.5);
-        next.warmKeys = chance(0.5);
-        next.keyRest = milliseconds(below(300));
-        next.idleClose = milliseconds(below(2000));
+        next.hedging = chance(0.5);
+        next.keyAffinity = chance(0.5);
+        next.keyCooldown = milliseconds(below(300));
+        next.idleTimeout = milliseconds(below(2000));
     }
     ++counts_["reloads"];
     if (!used.empty()) ++counts_["reloads while requests are open"];
@@ -597,7 +607,7 @@
 
   void addClass(Settings& next) {
     const std::string name = "added-" + std::to_string(count("classes added"));
-    next.classes.push_back(makeClass(name, Effect::retryable, 1 + static_cast<double>(below(9))));
+    next.classes.push_back(makeClass(name, Idempotency::safe, 1 + static_cast<double>(below(9))));
     ++counts_["classes added"];
   }
 
@@ -611,10 +621,10 @@
     const std::size_t index = below(next.classes.size());
     if (used.count(index)) return;
     ClassSettings& c = next.classes[index];
-    c.worth = 1 + static_cast<double>(below(9));
-    c.effect = chance(0.5) ? Effect::retryable : Effect::fragile;
-    c.inTurn = chance(0.3);
-    c.aim = milliseconds(200 + below(300));
+    c.priorityWeight = 1 + static_cast<double>(below(9));
+    c.idempotency = chance(0.5) ? Idempotency::safe : Idempotency::unsafe;
+    c.serializedByKey = chance(0.3);
+    c.latencyObjective = milliseconds(200 + below(300));
     ++counts_["classes changed"];
   }
 
@@ -622,7 +632,7 @@
     next.tenants.clear();
     for (std::size_t i = 0, most = 1 + below(4); i < most; ++i)
       next.tenants.push_back({"tenant-" + std::to_string(i), static_cast<double>(below(60))});
-    next.overShareWorth = 0.25 * static_cast<double>(below(4));
+    next.overQuotaWeightFactor = 0.25 * static_cast<double>(below(4));
     ++counts_["tenants changed"];
   }
 
@@ -635,25 +645,25 @@
       digest_.add(a);
       switch (a.kind) {
         case ActionKind::send: noteSend(a); break;
-        case ActionKind::refuse: over_[a.request] = true, ++counts_["refused"]; break;
+        case ActionKind::reject: over_[a.request] = true, ++counts_["refused"]; break;
         case ActionKind::fail: over_[a.request] = true, ++counts_["failed"]; break;
         case ActionKind::cancel: cancelled_[{a.request, a.attempt}] = true, ++counts_["cancels"]; break;
-        case ActionKind::close:
+        case ActionKind::closeIdle:
           ++counts_["closes"];
-          setConnections(a.host, balancer_.attemptsOut(a.host));
+          setConnections(a.endpoint, balancer_.attemptsInFlight(a.endpoint));
           break;
-        case ActionKind::forget:
+        case ActionKind::forgetEndpoint:
           ++counts_["forgets"];
-          connections_.erase(a.host);
-          reach_.erase(a.host);
+          connections_.erase(a.endpoint);
+          reach_.erase(a.endpoint);
           break;
-        case ActionKind::wake: wake_ = a.span; break;
+        case ActionKind::scheduleWake: wake_ = a.span; break;
         default: break;
       }
     }
     const double cut = balancer_.cutoff();
     digest_.number(cut * 1e6);
-    digest_.number(balancer_.openRequests());
+    digest_.number(balancer_.activeRequests());
     ask();
   }
 
@@ -666,52 +676,54 @@
         break;
       }
     const bool slow = happens(scenario_.slowShare);
-    out_.push_back({a.request, a.attempt, a.host, now_, a.span, slow ? now_ + scenario_.slowTime : Time{}});
-    if (happens(scenario_.exactCounts ? 0.7 : 0)) openFor(a.host);  // else no new connection is begun
+    out_.push_back(
+        {a.request, a.attempt, a.endpoint, now_, a.span, slow ? now_ + scenario_.slowTime : Timestamp{}});
+    if (happens(scenario_.exactCounts ? 0.7 : 0)) openFor(a.endpoint);  // else no new connection is begun
     if (a.attempt == 0 && a.request != asked_) ++counts_["waits"];
     if (a.attempt == 0 && q.hasKey) {
       const auto before = hostOfKey_.find(q.key);
-      if (before != hostOfKey_.end() && before->second == a.host) ++counts_["key returns"];
-      hostOfKey_[q.key] = a.host;
+      if (before != hostOfKey_.end() && before->second == a.endpoint) ++counts_["key returns"];
+      hostOfKey_[q.key] = a.endpoint;
     }
     if (a.attempt > 0) noteRetry(q);
-    if (q.attemptsMost != kNone && a.attempt + 1 == q.attemptsMost) ++counts_["requests at their most"];
-    if (a.attempt >= q.attemptsMost) ++counts_["sends beyond a bound"];
-    if (reach_.count(a.host) && reach_[a.host] == Reach::probe) {
+    if (q.maxAttempts != kNone && a.attempt + 1 == q.maxAttempts) ++counts_["requests at their most"];
+    if (a.attempt >= q.maxAttempts) ++counts_["sends beyond a bound"];
+    if (reach_.count(a.endpoint) && reach_[a.endpoint] == Reachability::probeOnly) {
       ++counts_["probes sent"];
-      reach_[a.host] = Reach::closed;
+      reach_[a.endpoint] = Reachability::unreachable;
     }
-    noteHost(a.host);
+    noteHost(a.endpoint);
   }
 
   void noteRetry(const Request& q) {
     ++counts_["retries"];
     if (q.classIndex >= settings_.classes.size()) return;
     const ClassSettings& c = settings_.classes[q.classIndex];
-    if (c.effect == Effect::retryable) ++counts_["retries of retryable"];
-    if (c.effect != Effect::dedup) return;
+    if (c.idempotency == Idempotency::safe) ++counts_["retries of retryable"];
+    if (c.idempotency != Idempotency::keyed) return;
     const std::string groups[] = {"all", "zone", "cell"};
-    ++counts_["retries of dedup, " + groups[static_cast<std::size_t>(c.group)]];
+    ++counts_["retries of dedup, " + groups[static_cast<std::size_t>(c.dedupScope)]];
   }
 
-  void noteHost(HostId id) {
-    for (const HostEntry& e : hosts_) {
-      if (balancer_.findHost(e.address) != id) continue;
-      if (e.upSince > Time{} && now_ - e.upSince < settings_.coldTime) ++counts_["sends to cold hosts"];
-      const auto out = balancer_.attemptsOut(id);
-      if (out == static_cast<std::uint32_t>(e.attemptsMost)) ++counts_["hosts at their most"];
-      if (out > static_cast<std::uint32_t>(e.attemptsMost)) ++counts_["sends beyond a bound"];
+  void noteHost(EndpointId id) {
+    for (const EndpointInfo& e : hosts_) {
+      if (balancer_.findEndpoint(e.address) != id) continue;
+      if (e.startedAt > Timestamp{} && now_ - e.startedAt < settings_.slowStartDuration)
+        ++counts_["sends to cold hosts"];
+      const auto out = balancer_.attemptsInFlight(id);
+      if (out == static_cast<std::uint32_t>(e.maxInFlight)) ++counts_["hosts at their most"];
+      if (out > static_cast<std::uint32_t>(e.maxInFlight)) ++counts_["sends beyond a bound"];
     }
   }
 
   // The queries, for one host after another, and for one that nobody has named.
   void ask() {
-    const HostId host = balancer_.findHost(hosts_[asks_++ % hosts_.size()].address);
-    for (const HostId id : {host, balancer_.findHost("nobody")}) {
+    const EndpointId host = balancer_.findEndpoint(hosts_[asks_++ % hosts_.size()].address);
+    for (const EndpointId id : {host, balancer_.findEndpoint("nobody")}) {
       queries_.number(id);
-      queries_.number(balancer_.avoids(id));
-      queries_.number(balancer_.connections(id));
-      queries_.number(balancer_.attemptsOut(id));
+      queries_.number(balancer_.isAvoided(id));
+      queries_.number(balancer_.openConnections(id));
+      queries_.number(balancer_.attemptsInFlight(id));
     }
   }
 
@@ -721,9 +733,9 @@
   Scenario scenario_;
   Settings settings_;  // in force
   std::mt19937_64 engine_;
-  Time now_ = seconds(100), wake_{};
-  Balancer balancer_;
-  std::vector<HostEntry> hosts_;
+  Timestamp now_ = seconds(100), wake_{};
+  LoadBalancer balancer_;
+  std::vector<EndpointInfo> hosts_;
   std::vector<OutAttempt> out_;
   std::map<RequestId, Request> requests_;
   std::set<RequestId> open_;  // those with a class index that may still be open
@@ -731,9 +743,9 @@
   std::map<RequestId, bool> over_;
   std::map<AttemptName, bool> cancelled_;
   std::set<AttemptName> started_;
-  std::map<std::uint64_t, HostId> hostOfKey_;
-  std::map<HostId, Reach> reach_;
-  std::map<HostId, std::uint32_t> connections_;
+  std::map<std::uint64_t, EndpointId> hostOfKey_;
+  std::map<EndpointId, Reachability> reach_;
+  std::map<EndpointId, std::uint32_t> connections_;
   std::map<std::uint32_t, std::size_t> askedBy_;
   std::map<std::string, std::size_t> counts_;
   Digest digest_, queries_;
@@ -778,6 +790,6 @@
   return RUN_ALL_TESTS();
 }
 
-}  // namespace ochrehill::testing
+}  // namespace cairnjunction::policy::testing
 
-int main(int argc, char** argv) { return ochrehill::testing::run(argc, argv); }
+int main(int argc, char** argv) { return cairnjunction::policy::testing::run(argc, argv); }
--- a/tests/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -4,7 +4,7 @@
 
 #include "driver.hpp"
 
-namespace ochrehill::testing {
+namespace cairnjunction::policy::testing {
 namespace {
 
 // --- Score and cutoff ---
@@ -74,7 +74,7 @@
 TEST(RetryAfter, LengthensAsTheScoreFallsAndOnlyWhereReceived) {
   for (bool received : {true, false}) {
     Settings s = makeSettings();
-    s.retryAfter = received;
+    s.retryAfterAllowed = received;
     s.maxRetryAfter = milliseconds(1000);
     Driver d(s, 10);
     double sums[2] = {0, 0};
@@ -98,7 +98,7 @@
 
 TEST(Pick, IdleHostsFirst) {
   Driver d(makeSettings(), 6);
-  std::set<HostId> used;
+  std::set<EndpointId> used;
   for (int i = 0; i < 6; ++i) {
     d.request(0);
     used.insert(d.lastSent().host);
@@ -108,7 +108,7 @@
 
 TEST(Pick, SlowHostsGetLess) {
   Driver d(makeSettings(), 4);
-  const HostId slow = d.host(0);
+  const EndpointId slow = d.host(0);
   for (int i = 0; i < 400; ++i) {
     d.request(0);
     d.advance(milliseconds(10));
@@ -124,11 +124,11 @@
 
 TEST(Pick, WarmKeysGoToTheSameHostsAtEveryGateway) {
   Settings s = makeSettings();
-  s.warmKeys = true;
+  s.keyAffinity = true;
   Driver a(s, 8);
   s.seed = 99;
   Driver b(s, 8);
-  std::set<HostId> all;
+  std::set<EndpointId> all;
   for (std::uint64_t key = 1; key <= 60; ++key) {
     a.request(0, milliseconds(1000), key);
     b.request(0, milliseconds(1000), key);
@@ -143,8 +143,8 @@
 TEST(Pick, OwnZonePreferredAndSpills) {
   Settings s = makeSettings();
   Driver d(s, 0);
-  d.balancer.onHosts(d.now, ListKind::replace,
-                     {makeHost(0), makeHost(1), makeHost(2, "west"), makeHost(3, "west")});
+  d.balancer.onEndpoints(d.now, EndpointListKind::replace,
+                         {makeHost(0), makeHost(1), makeHost(2, "west"), makeHost(3, "west")});
   for (int i = 0; i < 200; ++i) {
     d.request(0);
     d.serve(d.lastSent());
@@ -187,13 +187,13 @@
   Driver d(makeSettings());
   const RequestId id = d.request(0);
   const Sent first = d.lastSent();
-  d.balancer.onClientGone(d.now, id);
+  d.balancer.onClientDisconnected(d.now, id);
   d.collect();
   EXPECT_EQ(d.count(ActionKind::cancel), 1u);
   d.settle(first, Outcome::connectFailed, false);
   EXPECT_EQ(d.sent.size(), 1u);
   EXPECT_EQ(d.answers.count(id), 0u);
-  EXPECT_EQ(d.balancer.openRequests(), 0u);
+  EXPECT_EQ(d.balancer.activeRequests(), 0u);
 }
 
 TEST(Answers, UnknownClassIsFragileAndLowest) {
@@ -210,26 +210,26 @@
   const Sent s = d.lastSent();
   d.balancer.onResult(d.now, {id + 50, 0, s.host, Outcome::error, {}, false});
   d.balancer.onResult(d.now, {id, 3, s.host, Outcome::error, {}, false});
-  d.balancer.onClientGone(d.now, 999);
-  d.balancer.onAnswerStarted(d.now, 999, 0);
+  d.balancer.onClientDisconnected(d.now, 999);
+  d.balancer.onResponseStarted(d.now, 999, 0);
   d.request(0);
   d.collect();
   EXPECT_EQ(d.answers.size(), 0u);
   d.serve(s);
   d.balancer.onResult(d.now, {id, 0, s.host, Outcome::served, {}, true});
-  EXPECT_EQ(d.balancer.openRequests(), 1u);
+  EXPECT_EQ(d.balancer.activeRequests(), 1u);
 }
 
 TEST(Answers, AStartedStreamIsLeftAlone) {
   Settings s = makeSettings();
   Driver d(s);
   const RequestId id = d.request(0);
-  d.balancer.onAnswerStarted(d.now, id, 0);
+  d.balancer.onResponseStarted(d.now, id, 0);
   d.advance(seconds(3));
   EXPECT_EQ(d.answers.count(id), 0u);
   d.settle(d.lastSent(), Outcome::reset, true);
   EXPECT_EQ(d.sent.size(), 1u);
-  EXPECT_EQ(d.balancer.openRequests(), 0u);
+  EXPECT_EQ(d.balancer.activeRequests(), 0u);
 }
 
 // --- Rule 2: no effect twice ---
@@ -242,10 +242,10 @@
     EXPECT_EQ(d.sent.size(), 1u);
     EXPECT_TRUE(d.failed(id)) << "a refusal would claim that a retry is harmless";
   }
-  for (Outcome o : {Outcome::full, Outcome::connectFailed}) {
+  for (Outcome o : {Outcome::overloaded, Outcome::connectFailed}) {
     Driver d(makeSettings());
     d.request(1);
-    const HostId first = d.lastSent().host;
+    const EndpointId first = d.lastSent().host;
     d.settle(d.lastSent(), o, false);
     ASSERT_EQ(d.sent.size(), 2u);
     EXPECT_NE(d.lastSent().host, first);
@@ -255,37 +255,37 @@
 TEST(Repeats, FragileRefusedWhenAllAttemptsProvenUnrun) {
   Driver d(makeSettings());
   const RequestId id = d.request(1);
-  for (int i = 0; i < 4; ++i) d.settle(d.lastSent(), Outcome::full, false);
+  for (int i = 0; i < 4; ++i) d.settle(d.lastSent(), Outcome::overloaded, false);
   EXPECT_EQ(d.sent.size(), 4u) << "maxAttempts";
   EXPECT_TRUE(d.refused(id));
 }
 
 TEST(Repeats, DedupStaysInItsGroupAndWindow) {
-  for (Group g : {Group::cell, Group::zone}) {
+  for (DedupScope g : {DedupScope::cell, DedupScope::zone}) {
     Settings s = makeSettings();
-    s.classes[2].group = g;
+    s.classes[2].dedupScope = g;
     for (std::uint64_t seed = 1; seed < 20; ++seed) {
       s.seed = seed;
       Driver d(s, 0);
-      std::vector<HostEntry> list;
+      std::vector<EndpointInfo> list;
       for (int i = 0; i < 8; ++i) list.push_back(makeHost(i, i < 4 ? "east" : "west", i / 2));
-      d.balancer.onHosts(d.now, ListKind::replace, list);
+      d.balancer.onEndpoints(d.now, EndpointListKind::replace, list);
       const RequestId id = d.request(2);
       const int first = std::stoi(d.balancer.address(d.lastSent().host).substr(5)) - 100;
       d.settle(d.lastSent(), Outcome::reset, false);
       ASSERT_EQ(d.sent.size(), 2u);
       const int second = std::stoi(d.balancer.address(d.lastSent().host).substr(5)) - 100;
-      EXPECT_EQ(first / (g == Group::cell ? 2 : 4), second / (g == Group::cell ? 2 : 4));
+      EXPECT_EQ(first / (g == DedupScope::cell ? 2 : 4), second / (g == DedupScope::cell ? 2 : 4));
       while (!d.out.empty()) {
         const int next = std::stoi(d.balancer.address(d.lastSent().host).substr(5)) - 100;
-        EXPECT_EQ(first / (g == Group::cell ? 2 : 4), next / (g == Group::cell ? 2 : 4));
+        EXPECT_EQ(first / (g == DedupScope::cell ? 2 : 4), next / (g == DedupScope::cell ? 2 : 4));
         d.settle(d.lastSent(), Outcome::timeout, false);
       }
       EXPECT_TRUE(d.failed(id)) << "never refused: the group is not all";
     }
   }
   Settings late = makeSettings();
-  late.classes[2].window = milliseconds(100);
+  late.classes[2].dedupWindow = milliseconds(100);
   Driver d(late);
   const RequestId id = d.request(2);
   d.advance(milliseconds(150));
@@ -296,7 +296,7 @@
 
 TEST(Repeats, DedupOfGroupAllMayBeRefused) {
   Settings s = makeSettings();
-  s.classes[2].group = Group::all;
+  s.classes[2].dedupScope = DedupScope::all;
   s.maxAttempts = 1;
   Driver d(s);
   const RequestId id = d.request(2);
@@ -308,10 +308,10 @@
 
 TEST(Drains, NothingNewToADrainingOrGoneHost) {
   Driver d(makeSettings(), 3);
-  HostEntry lame = makeHost(0), gone = makeHost(1);
-  lame.phase = Phase::draining;
-  gone.phase = Phase::out;
-  d.balancer.onHosts(d.now, ListKind::update, {lame, gone});
+  EndpointInfo lame = makeHost(0), gone = makeHost(1);
+  lame.state = EndpointState::draining;
+  gone.state = EndpointState::removed;
+  d.balancer.onEndpoints(d.now, EndpointListKind::update, {lame, gone});
   d.forget();
   for (int i = 0; i < 30; ++i) {
     d.request(0);
@@ -322,7 +322,7 @@
 
 TEST(Drains, AWholeListDropsWhatItLeavesOut) {
   Driver d(makeSettings(), 3);
-  d.balancer.onHosts(d.now, ListKind::replace, {makeHost(2)});
+  d.balancer.onEndpoints(d.now, EndpointListKind::replace, {makeHost(2)});
   d.forget();
   for (int i = 0; i < 10; ++i) {
     d.request(0);
@@ -333,20 +333,20 @@
 
 TEST(Discovery, AsksAtOnceAndAgainAfterFailuresWithinTheLimit) {
   Settings s = makeSettings();
-  s.askDiscovery = true;
-  s.askWithin = seconds(3);
+  s.pollDiscovery = true;
+  s.maxPollInterval = seconds(3);
   Driver d(s, 3);
-  EXPECT_EQ(d.count(ActionKind::subscribe), 1u);
-  Time asked = d.now;
+  EXPECT_EQ(d.count(ActionKind::pollEndpoints), 1u);
+  Timestamp asked = d.now;
   for (int i = 0; i < 8; ++i) {
-    d.balancer.onHosts(d.now, ListKind::unavailable, {});
+    d.balancer.onEndpoints(d.now, EndpointListKind::unavailable, {});
     d.collect();
-    const std::size_t before = d.count(ActionKind::subscribe);
-    while (d.count(ActionKind::subscribe) == before && d.now - asked < s.askWithin)
+    const std::size_t before = d.count(ActionKind::pollEndpoints);
+    while (d.count(ActionKind::pollEndpoints) == before && d.now - asked < s.maxPollInterval)
       d.advance(milliseconds(50));
-    EXPECT_EQ(d.count(ActionKind::subscribe), before + 1);
+    EXPECT_EQ(d.count(ActionKind::pollEndpoints), before + 1);
     EXPECT_GT(d.now, asked) << "no storm";
-    EXPECT_LT(d.now - asked, s.askWithin);
+    EXPECT_LT(d.now - asked, s.maxPollInterval);
     asked = d.now;
   }
   d.request(0);
@@ -355,26 +355,26 @@
 
 TEST(Discovery, ALostAnswerIsAskedForAgainButNotAGivenOne) {
   Settings s = makeSettings();
-  s.askDiscovery = true;
-  s.askWithin = seconds(3);
+  s.pollDiscovery = true;
+  s.maxPollInterval = seconds(3);
   Driver d(s, 3);
   d.advance(seconds(2), milliseconds(50));
-  EXPECT_EQ(d.count(ActionKind::subscribe), 2u);
-  d.balancer.onHosts(d.now, ListKind::update, {});
+  EXPECT_EQ(d.count(ActionKind::pollEndpoints), 2u);
+  d.balancer.onEndpoints(d.now, EndpointListKind::update, {});
   d.advance(seconds(10), milliseconds(50));
-  EXPECT_EQ(d.count(ActionKind::subscribe), 2u);
+  EXPECT_EQ(d.count(ActionKind::pollEndpoints), 2u);
 }
 
 // --- Rule 4: cold hosts ---
 
 TEST(ColdStart, ABudgetInEveryWindow) {
   Settings s = makeSettings();
-  s.groupSize = 2;
+  s.gatewayCount = 2;
   Driver d(s, 4);
   d.warmUp(0, 100, milliseconds(10));
-  HostEntry cold = makeHost(9);
-  cold.upSince = d.now;
-  d.balancer.onHosts(d.now, ListKind::update, {cold});
+  EndpointInfo cold = makeHost(9);
+  cold.startedAt = d.now;
+  d.balancer.onEndpoints(d.now, EndpointListKind::update, {cold});
   d.forget();
   std::size_t warm = 0;
   for (int i = 0; i < 200; ++i) {  // two seconds, the cold host refuses all: refused attempts count too
@@ -382,7 +382,7 @@
     d.advance(milliseconds(10));
     while (!d.out.empty()) {
       const Sent o = d.out.front();
-      if (o.host == d.host(9)) d.settle(o, Outcome::full, false);
+      if (o.host == d.host(9)) d.settle(o, Outcome::overloaded, false);
       else d.serve(o);
     }
   }
@@ -394,12 +394,12 @@
 TEST(ColdStart, AlsoWhenEveryHostIsCold) {
   Settings s = makeSettings();
   Driver d(s, 0);
-  std::vector<HostEntry> list;
+  std::vector<EndpointInfo> list;
   for (int i = 0; i < 3; ++i) {
     list.push_back(makeHost(i));
-    list.back().upSince = d.now;
+    list.back().startedAt = d.now;
   }
-  d.balancer.onHosts(d.now, ListKind::replace, list);
+  d.balancer.onEndpoints(d.now, EndpointListKind::replace, list);
   for (int i = 0; i < 400; ++i) {
     d.request(0);
     d.advance(milliseconds(5));
@@ -414,7 +414,7 @@
 TEST(Settings, NonsenseIsRejectedWithItsName) {
   const auto message = [](const Settings& s) -> std::string {
     try {
-      Balancer b(s, Time{});
+      LoadBalancer b(s, Timestamp{});
     } catch (const std::invalid_argument& e) {
       return e.what();
     }
@@ -425,16 +425,16 @@
   s.classes.clear();
   EXPECT_NE(message(s).find("class"), std::string::npos);
   s = makeSettings();
-  s.groupSize = 0;
+  s.gatewayCount = 0;
   EXPECT_NE(message(s).find("groupSize"), std::string::npos);
   s = makeSettings();
-  s.coldShare = 0;
+  s.slowStartInitialFraction = 0;
   EXPECT_NE(message(s).find("coldShare"), std::string::npos);
   s = makeSettings();
-  s.classes[1].aim = Duration{};
+  s.classes[1].latencyObjective = Duration{};
   EXPECT_NE(message(s).find("write"), std::string::npos);
   s = makeSettings();
-  s.classes[1].worth = std::nan("");
+  s.classes[1].priorityWeight = std::nan("");
   EXPECT_NE(message(s).find("worth"), std::string::npos);
 }
 
@@ -442,7 +442,7 @@
 
 struct Seen {
   std::uint32_t cls;
-  Time deadline;
+  Timestamp deadline;
   bool over = false;
   std::vector<Sent> tries;
   std::vector<int> state;  // 0 out, 1 proven unrun, 2 may have run
@@ -451,28 +451,29 @@
 std::string play(std::uint64_t seed) {
   Settings s = makeSettings();
   s.seed = seed;
-  s.warmKeys = seed % 2 == 0;
-  s.classes[2].group = static_cast<Group>(seed % 3);
+  s.keyAffinity = seed % 2 == 0;
+  s.classes[2].dedupScope = static_cast<DedupScope>(seed % 3);
   std::mt19937_64 engine(seed * 77 + 1);
   const auto below = [&](std::uint64_t n) { return engine() % n; };
-  Balancer b(s, seconds(50));
-  Time now = seconds(50);
+  LoadBalancer b(s, seconds(50));
+  Timestamp now = seconds(50);
   std::map<RequestId, Seen> seen;
-  std::map<HostId, Phase> phase;
-  std::map<HostId, HostEntry> entries;
+  std::map<EndpointId, EndpointState> phase;
+  std::map<EndpointId, EndpointInfo> entries;
   std::string trace;
   RequestId last = 0;
-  std::vector<HostEntry> list;
+  std::vector<EndpointInfo> list;
   for (int i = 0; i < 6; ++i) list.push_back(makeHost(i, i % 3 ? "east" : "west", i % 3));
-  b.onHosts(now, ListKind::restored, list);
-  for (const HostEntry& e : list) entries[b.findHost(e.address)] = e;
+  b.onEndpoints(now, EndpointListKind::restored, list);
+  for (const EndpointInfo& e : list) entries[b.findEndpoint(e.address)] = e;
 
   const auto check = [&] {
     for (const Action& a : b.actions()) {
       trace += std::to_string(static_cast<int>(a.kind)) + ":" + std::to_string(a.request) + ":" +
-               std::to_string(a.host) + ":" + std::to_string(a.span.count()) + " ";
-      if (a.kind == ActionKind::wake || a.kind == ActionKind::log || a.kind == ActionKind::subscribe ||
-          a.kind == ActionKind::close || a.kind == ActionKind::forget)
+               std::to_string(a.endpoint) + ":" + std::to_string(a.span.count()) + " ";
+      if (a.kind == ActionKind::scheduleWake || a.kind == ActionKind::log ||
+          a.kind == ActionKind::pollEndpoints || a.kind == ActionKind::closeIdle ||
+          a.kind == ActionKind::forgetEndpoint)
         continue;
       EXPECT_TRUE(seen.count(a.request));
       Seen& r = seen[a.request];
@@ -486,28 +487,28 @@
         EXPECT_FALSE(r.over);
         EXPECT_LT(now, r.deadline);
         EXPECT_LE(now + a.span, r.deadline);
-        EXPECT_EQ(entries.at(a.host).phase, Phase::in);
+        EXPECT_EQ(entries.at(a.endpoint).state, EndpointState::active);
         EXPECT_EQ(a.attempt, r.tries.size());
         EXPECT_LT(a.attempt, s.maxAttempts);
         EXPECT_FALSE(outNow);
-        if (c.effect == Effect::fragile) EXPECT_FALSE(ran);
-        if (c.effect == Effect::dedup)
+        if (c.idempotency == Idempotency::unsafe) EXPECT_FALSE(ran);
+        if (c.idempotency == Idempotency::keyed)
           for (std::size_t i = 0; i < r.tries.size(); ++i) {
             if (r.state[i] == 1) continue;
-            const HostEntry &was = entries.at(r.tries[i].host), &is = entries.at(a.host);
-            if (c.group != Group::all) EXPECT_EQ(was.zone, is.zone);
-            if (c.group == Group::cell) EXPECT_EQ(was.cell, is.cell);
-            EXPECT_LE(now, r.tries[i].at + c.window);
+            const EndpointInfo &was = entries.at(r.tries[i].host), &is = entries.at(a.endpoint);
+            if (c.dedupScope != DedupScope::all) EXPECT_EQ(was.zone, is.zone);
+            if (c.dedupScope == DedupScope::cell) EXPECT_EQ(was.cell, is.cell);
+            EXPECT_LE(now, r.tries[i].at + c.dedupWindow);
           }
-        r.tries.push_back({a.request, a.attempt, a.host, now, a.span});
+        r.tries.push_back({a.request, a.attempt, a.endpoint, now, a.span});
         r.state.push_back(0);
-      } else if (a.kind == ActionKind::refuse || a.kind == ActionKind::fail) {
+      } else if (a.kind == ActionKind::reject || a.kind == ActionKind::fail) {
         EXPECT_FALSE(r.over);
         EXPECT_LE(now, r.deadline);
         r.over = true;
-        if (a.kind == ActionKind::refuse && ran) {
-          EXPECT_NE(c.effect, Effect::fragile);
-          if (c.effect == Effect::dedup) EXPECT_EQ(c.group, Group::all);
+        if (a.kind == ActionKind::reject && ran) {
+          EXPECT_NE(c.idempotency, Idempotency::unsafe);
+          if (c.idempotency == Idempotency::keyed) EXPECT_EQ(c.dedupScope, DedupScope::all);
         }
       }
     }
@@ -521,10 +522,10 @@
       Request q;
       q.id = ++last;
       q.classIndex = static_cast<std::uint32_t>(below(3));
-      q.left = milliseconds(static_cast<int>(below(1000)) + 1);
+      q.timeRemaining = milliseconds(static_cast<int>(below(1000)) + 1);
       q.hasKey = true;
       q.key = below(20);
-      seen[q.id] = {q.classIndex, now + q.left, false, {}, {}};
+      seen[q.id] = {q.classIndex, now + q.timeRemaining, false, {}, {}};
       b.onRequest(now, q);
     } else if (what < 8 && !seen.empty()) {
       std::vector<std::pair<RequestId, std::size_t>> open;
@@ -535,24 +536,24 @@
         const auto [id, k] = open[below(open.size())];
         Seen& r = seen[id];
         const auto o = static_cast<Outcome>(below(9));
-        r.state[k] = o == Outcome::full || o == Outcome::connectFailed || o == Outcome::moot ? 1 : 2;
+        r.state[k] = o == Outcome::overloaded || o == Outcome::connectFailed || o == Outcome::notSent ? 1 : 2;
         const bool terminal = r.over || o == Outcome::served;
         if (terminal) r.over = true;
         b.onResult(now,
                    {id, static_cast<std::uint32_t>(k), r.tries[k].host, o, now - r.tries[k].at, terminal});
       }
     } else if (what == 8 && below(10) == 0) {
-      HostEntry& e = list[below(list.size())];
-      e.phase = static_cast<Phase>(below(3));
-      if (below(3) == 0) e.upSince = now;
-      b.onHosts(now, ListKind::update, {e});
+      EndpointInfo& e = list[below(list.size())];
+      e.state = static_cast<EndpointState>(below(3));
+      if (below(3) == 0) e.startedAt = now;
+      b.onEndpoints(now, EndpointListKind::update, {e});
       // One that is gone keeps its id while an open request was sent to it; then another may have it.
-      if (const HostId id = b.findHost(e.address); id != kNone) entries[id] = e;
+      if (const EndpointId id = b.findEndpoint(e.address); id != kNone) entries[id] = e;
     } else if (below(20) == 0 && last > 0) {
       const RequestId id = 1 + below(last);
       if (!seen[id].over) {
         seen[id].over = true;
-        b.onClientGone(now, id);
+        b.onClientDisconnected(now, id);
       }
     } else {
       b.onWake(now);
@@ -583,4 +584,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehill::testing
+}  // namespace cairnjunction::policy::testing
--- a/tests/pools/pools_test.cpp
+++ b/tests/pools/pools_test.cpp
@@ -4,14 +4,14 @@
 #include <random>
 
 #include "limits/limiter.hpp"
-#include "pools/budget.hpp"
-#include "pools/plan.hpp"
+#include "pools/passive_health_filter.hpp"
+#include "pools/shared_quota.hpp"
 
 namespace cairnjunction::pools {
 namespace {
 
 using namespace std::chrono_literals;
-using ochrehill::Time;
+using policy::Timestamp;
 using V = std::vector<bool>;
 
 std::vector<route::PoolServer> servers(std::size_t n) { return std::vector<route::PoolServer>(n); }
@@ -19,13 +19,13 @@
 TEST(PlanTest, FailuresTakeAServerOutForItsTime) {
   auto two = servers(2);
   two[0].failsMost = 2;
-  Plan plan(two);
+  PassiveHealthFilter plan(two);
   EXPECT_EQ(plan.offered(), (V{true, true}));
   EXPECT_FALSE(plan.onResult(1s, 0, true));
   EXPECT_FALSE(plan.onResult(12s, 0, true));  // the first one is too long ago
   EXPECT_TRUE(plan.onResult(13s, 0, true));
   EXPECT_EQ(plan.offered(), (V{false, true}));
-  EXPECT_EQ(plan.next(), Time(23s));
+  EXPECT_EQ(plan.next(), Timestamp(23s));
   EXPECT_FALSE(plan.onTime(22s));
   EXPECT_TRUE(plan.onTime(23s));
   EXPECT_EQ(plan.offered(), (V{true, true}));
@@ -35,7 +35,7 @@
 TEST(PlanTest, AnAnswerEndsTheCount) {
   auto two = servers(2);
   two[0].failsMost = 2;
-  Plan plan(two);
+  PassiveHealthFilter plan(two);
   plan.onResult(1s, 0, true);
   plan.onResult(2s, 0, false);
   EXPECT_FALSE(plan.onResult(3s, 0, true));
@@ -45,7 +45,7 @@
   auto all = servers(4);
   all[2].backup = true;
   all[3].down = true;
-  Plan plan(all);
+  PassiveHealthFilter plan(all);
   EXPECT_EQ(plan.offered(), (V{true, true, false, false}));
   plan.onResult(1s, 0, true);
   EXPECT_EQ(plan.offered(), (V{false, true, false, false}));
@@ -61,36 +61,36 @@
   auto all = servers(2);
   all[0].down = true;
   all[1].backup = true;
-  EXPECT_EQ(Plan(all).offered(), (V{false, true}));
+  EXPECT_EQ(PassiveHealthFilter(all).offered(), (V{false, true}));
   all[1].down = true;
-  EXPECT_EQ(Plan(all).offered(), (V{false, false}));  // a pool with no server left
-  EXPECT_TRUE(Plan({}).offered().empty());
+  EXPECT_EQ(PassiveHealthFilter(all).offered(), (V{false, false}));  // a pool with no server left
+  EXPECT_TRUE(PassiveHealthFilter({}).offered().empty());
 }
 
 TEST(PlanTest, ASingleServerAndOneWithNoMostAreNeverOut) {
-  Plan single(servers(1));
+  PassiveHealthFilter single(servers(1));
   EXPECT_FALSE(single.onResult(1s, 0, true));
   auto two = servers(2);
   two[0].failsMost = 0;
-  Plan plan(two);
-  for (int i = 0; i < 10; ++i) EXPECT_FALSE(plan.onResult(Time(i), 0, true));
+  PassiveHealthFilter plan(two);
+  for (int i = 0; i < 10; ++i) EXPECT_FALSE(plan.onResult(Timestamp(i), 0, true));
 }
 
 TEST(PlanTest, WhatCountsAsAFailure) {
-  using ochrehill::Fault;
-  using ochrehill::Outcome;
-  EXPECT_TRUE(failed(Outcome::timeout, Fault::unknown));
-  EXPECT_TRUE(failed(Outcome::reset, Fault::unknown));
-  EXPECT_TRUE(failed(Outcome::connectFailed, Fault::refused));
-  EXPECT_TRUE(failed(Outcome::connectFailed, Fault::dialSilent));
-  EXPECT_FALSE(failed(Outcome::connectFailed, Fault::noDescriptor));  // our own lack
-  EXPECT_FALSE(failed(Outcome::full, Fault::unknown));
-  EXPECT_FALSE(failed(Outcome::served, Fault::unknown));
-  EXPECT_FALSE(failed(Outcome::cancelled, Fault::unknown));
+  using policy::FailureReason;
+  using policy::Outcome;
+  EXPECT_TRUE(failed(Outcome::timeout, FailureReason::unknown));
+  EXPECT_TRUE(failed(Outcome::reset, FailureReason::unknown));
+  EXPECT_TRUE(failed(Outcome::connectFailed, FailureReason::connectionRefused));
+  EXPECT_TRUE(failed(Outcome::connectFailed, FailureReason::connectTimeout));
+  EXPECT_FALSE(failed(Outcome::connectFailed, FailureReason::noDescriptor));  // our own lack
+  EXPECT_FALSE(failed(Outcome::overloaded, FailureReason::unknown));
+  EXPECT_FALSE(failed(Outcome::served, FailureReason::unknown));
+  EXPECT_FALSE(failed(Outcome::cancelled, FailureReason::unknown));
 }
 
 TEST(BudgetTest, NoPoolTakesAnothersPart) {
-  Budget budget(100, 4);  // 12 each for sure, 52 for whoever comes first
+  SharedQuota budget(100, 4);  // 12 each for sure, 52 for whoever comes first
   std::uint64_t taken = 0;
   while (budget.take(0, 1)) ++taken;
   EXPECT_EQ(taken, 64u);
@@ -104,7 +104,7 @@
 }
 
 TEST(BudgetTest, TheOnlyPoolHasAll) {
-  Budget budget(10, 1);
+  SharedQuota budget(10, 1);
   EXPECT_TRUE(budget.take(0, 10));
   EXPECT_FALSE(budget.take(0, 1));
   budget.give(0, 10);
@@ -113,7 +113,7 @@
 
 TEST(BudgetTest, WhateverComesTheTotalHoldsAndNothingLeaks) {
   std::mt19937 random(11);
-  Budget budget(1000, 7);
+  SharedQuota budget(1000, 7);
   std::vector<std::vector<std::uint64_t>> held(7);
   for (int i = 0; i < 50000; ++i) {
     const std::size_t pool = random() % 7;
@@ -187,7 +187,7 @@
   d.location = &location;
   for (int i = 0; i < 1000; ++i) {
     d.rates = {{0, std::to_string(i), 0}};
-    EXPECT_EQ(limiter.admit(Time(i), d), 0);
+    EXPECT_EQ(limiter.admit(Timestamp(i), d), 0);
     EXPECT_LE(limiter.keys(), 10u);
   }
 }
--- a/tests/wire_test.cpp
+++ b/tests/sim/adapter_test.cpp
@@ -1,12 +1,14 @@
-#include "wire.hpp"
+#include "sim/adapter.hpp"
 
 #include <gtest/gtest.h>
 
 #include <sstream>
 
-namespace ochrehill::wire {
+namespace cairnjunction::sim {
 namespace {
 
+using namespace policy;
+
 const char* kSettings =
     " rngSeed=5192284302740068 ceilings.cancel=true ceilings.maxAttempts=6 ceilings.parallelTries=false "
     "ceilings.new_thing=4 grades.count=2 grades.0.aimNs=600000000 grades.0.effect=retryable "
@@ -57,35 +59,35 @@
   const Settings s = readSettings(std::string(kSettings) +
                                   " grades.0.inTurn=true grades.0.staysIn=north,south grades.1.boundTo= "
                                   "rules.keyRestNs=100000000");
-  EXPECT_TRUE(s.classes[0].inTurn);
-  EXPECT_FALSE(s.classes[1].inTurn);
-  EXPECT_EQ(s.classes[0].zones, (std::vector<std::string>{"north", "south"}));
-  EXPECT_FALSE(s.classes[0].kinds);  // absent: no bound
-  ASSERT_TRUE(s.classes[1].kinds);   // empty: nothing is allowed
-  EXPECT_TRUE(s.classes[1].kinds->empty());
-  EXPECT_EQ(s.keyRest, std::chrono::milliseconds(100));
+  EXPECT_TRUE(s.classes[0].serializedByKey);
+  EXPECT_FALSE(s.classes[1].serializedByKey);
+  EXPECT_EQ(s.classes[0].allowedZones, (std::vector<std::string>{"north", "south"}));
+  EXPECT_FALSE(s.classes[0].allowedMachineKinds);  // absent: no bound
+  ASSERT_TRUE(s.classes[1].allowedMachineKinds);   // empty: nothing is allowed
+  EXPECT_TRUE(s.classes[1].allowedMachineKinds->empty());
+  EXPECT_EQ(s.keyCooldown, std::chrono::milliseconds(100));
 }
 
 TEST(Wire, SettingsAreRead) {
   const Settings s = readSettings(kSettings);
   ASSERT_EQ(s.classes.size(), 2u);
   EXPECT_EQ(s.classes[0].name, "plan");
-  EXPECT_EQ(s.classes[0].worth, 12);
-  EXPECT_EQ(s.classes[1].effect, Effect::dedup);
-  EXPECT_EQ(s.classes[1].group, Group::zone);
-  EXPECT_EQ(s.classes[1].window, std::chrono::seconds(2));
-  EXPECT_TRUE(s.askDiscovery);
+  EXPECT_EQ(s.classes[0].priorityWeight, 12);
+  EXPECT_EQ(s.classes[1].idempotency, Idempotency::keyed);
+  EXPECT_EQ(s.classes[1].dedupScope, DedupScope::zone);
+  EXPECT_EQ(s.classes[1].dedupWindow, std::chrono::seconds(2));
+  EXPECT_TRUE(s.pollDiscovery);
   EXPECT_EQ(s.maxAttempts, 6u);
-  EXPECT_DOUBLE_EQ(s.coldShare, 0.32);
+  EXPECT_DOUBLE_EQ(s.slowStartInitialFraction, 0.32);
   EXPECT_EQ(s.zone, "north");
-  EXPECT_FALSE(s.parallelTries);
-  EXPECT_FALSE(s.liveWeights);
+  EXPECT_FALSE(s.hedging);
+  EXPECT_FALSE(s.loadReports);
   const Settings large = readSettings(std::string(kSettings) +
                                       " myNumber=17 groupSize=300 weights=live ceilings.parallelTries=true");
-  EXPECT_EQ(large.number, 17u);
-  EXPECT_EQ(large.groupSize, 300u);
-  EXPECT_TRUE(large.liveWeights);
-  EXPECT_TRUE(large.parallelTries);
+  EXPECT_EQ(large.gatewayIndex, 17u);
+  EXPECT_EQ(large.gatewayCount, 300u);
+  EXPECT_TRUE(large.loadReports);
+  EXPECT_TRUE(large.hedging);
   EXPECT_THROW(readSettings("groupSize=many"), std::invalid_argument);
 }
 
@@ -230,4 +232,4 @@
 }
 
 }  // namespace
-}  // namespace ochrehill::wire
+}  // namespace cairnjunction::sim
--- a/tools/discovery_main.cpp
+++ b/tools/discovery_main.cpp
@@ -10,7 +10,7 @@
 #include <iostream>
 #include <sstream>
 
-#include "discovery/host_list.hpp"
+#include "discovery/endpoint_list.hpp"
 #include "standins/discovery.hpp"
 
 namespace {
--- a/tools/lab/experiment.cpp
+++ b/tools/lab/experiment.cpp
@@ -17,15 +17,15 @@
 constexpr double kRateMost = 1e6;
 constexpr int kSecondsMost = 600, kProcessesMost = 400;
 
-using tomlfile::Reader;
+using toml::Reader;
 
-FaultKind kindOf(const std::string& text, const Reader& reader, const toml::node* at) {
+FaultKind kindOf(const std::string& text, const Reader& reader, const ::toml::node* at) {
   for (const FaultKind kind : kKinds)
     if (text == nameOf(kind)) return kind;
   reader.fail(at, "unknown kind of fault '" + text + "'");
 }
 
-Experiment experimentOf(const toml::table& file, const std::string& name) {
+Experiment experimentOf(const ::toml::table& file, const std::string& name) {
   Experiment e;
   Reader reader(file, "", name);
   const auto take = [&](const char* key, int least, int most, int& to) {
@@ -47,7 +47,7 @@
   take("settle_ms", 0, 60'000, e.settleMs);
   take("probe_shards", 1, 256, e.probeShards);
   take("expect_refused", 0, 1'000'000, e.expectRefused);
-  reader.tables("fault", [&](const toml::table& t) {
+  reader.tables("fault", [&](const ::toml::table& t) {
     Reader row(t, "[[fault]]: ", name);
     Fault fault;
     fault.atMs = row.number("at_ms", 0, kSecondsMost * 1000, 0);
@@ -59,7 +59,7 @@
     row.finish();
     e.faults.push_back(fault);
   });
-  reader.tables("host", [&](const toml::table& t) {
+  reader.tables("host", [&](const ::toml::table& t) {
     Reader row(t, "[[host]]: ", name);
     HostChange change;
     change.atMs = row.number("at_ms", 0, kSecondsMost * 1000, 0);
@@ -70,14 +70,14 @@
     row.finish();
     e.changes.push_back(change);
   });
-  if (const toml::node* node = reader.find("random")) {
+  if (const ::toml::node* node = reader.find("random")) {
     if (!node->is_table()) reader.fail(node, "'random' is no table");
     Reader random(*node->as_table(), "[random]: ", name);
     e.randomFaults = random.number("faults", 0, 100, e.randomFaults);
     e.randomFromMs = random.number("from_ms", 0, kSecondsMost * 1000, e.randomFromMs);
-    if (const toml::node* kinds = random.find("kinds")) {
+    if (const ::toml::node* kinds = random.find("kinds")) {
       if (!kinds->is_array()) random.fail(kinds, "'kinds' is no list");
-      for (const toml::node& kind : *kinds->as_array())
+      for (const ::toml::node& kind : *kinds->as_array())
         e.randomKinds.push_back(kindOf(kind.value<std::string>().value_or(""), random, &kind));
     }
     random.finish();
@@ -107,12 +107,10 @@
 }
 
 Experiment parseExperiment(const std::string& text, const std::string& name) {
-  return experimentOf(tomlfile::parse(text, name), name);
+  return experimentOf(toml::parse(text, name), name);
 }
 
-Experiment readExperiment(const std::string& path) {
-  return parseExperiment(tomlfile::readWhole(path), path);
-}
+Experiment readExperiment(const std::string& path) { return parseExperiment(toml::readWhole(path), path); }
 
 Experiment planned(Experiment e, std::uint64_t seed) {
   std::mt19937_64 random(seed);
--- a/tools/lab/experiment.hpp
+++ b/tools/lab/experiment.hpp
@@ -6,11 +6,11 @@
 #include <string>
 #include <vector>
 
-#include "tomlfile/reader.hpp"
+#include "toml/reader.hpp"
 
 namespace cairnjunction::lab {
 
-using BadExperiment = tomlfile::BadFile;
+using BadExperiment = toml::BadFile;
 
 enum class FaultKind {
   kill,       // SIGKILL; started again after `for`
--- a/tools/replay_main.cpp
+++ b/tools/replay_main.cpp
@@ -3,7 +3,7 @@
 #include <boost/asio/io_context.hpp>
 #include <iostream>
 
-#include "discovery/host_list.hpp"
+#include "discovery/endpoint_list.hpp"
 #include "standins/replay.hpp"
 
 int main(int argc, char** argv) {
--- a/tools/standins/discovery.cpp
+++ b/tools/standins/discovery.cpp
@@ -7,7 +7,7 @@
 #include <chrono>
 #include <utility>
 
-#include "discovery/host_list.hpp"
+#include "discovery/endpoint_list.hpp"
 
 namespace cairnjunction::standins {
 namespace {
