--- a/test.sh
+++ b/test.sh
@@ -11,7 +11,8 @@
   flags="-DCMAKE_CXX_FLAGS_RELWITHDEBINFO=-O1"
 fi
 cmake -B "$dir" -DCMAKE_BUILD_TYPE=RelWithDebInfo -DCMAKE_CXX_FLAGS=-Werror $flags \
-  -DOCHREHILL_TESTS=ON -DOCHREHILL_SANITIZE="$sanitize"
+  -DOCHREHILL_TESTS=ON -DOCHREHILL_SANITIZE="$sanitize" \
+  -DCMAKE_EXPORT_COMPILE_COMMANDS=ON
 cmake --build "$dir" -j"$(nproc)"
 red=
 if [ -f KNOWN-RED.txt ]; then
