--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -31,6 +31,7 @@
 
 const std::string kAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 const std::string kFull = "HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
+constexpr policy::Timestamp kStart{24h};
 constexpr int kSlots = 4;  // requests in work at a host; past it it turns away, unseen
 constexpr auto kWork = 15ms;
 
@@ -162,9 +163,9 @@
   }
 
  private:
-  policy::Timestamp now() const override { return 24h + (Clock::now() - start_); }
+  policy::Timestamp now() const override { return kStart + (Clock::now() - start_); }
   void wakeAt(policy::Timestamp at) override {
-    waker_.expires_at(start_ + (at - 24h));
+    waker_.expires_at(start_ + (at - kStart));
     waker_.async_wait([this](error_code ec) {
       if (!ec) engine_.wake();
     });
@@ -266,7 +267,7 @@
   void onReply(std::uint64_t, Reply) override {}
 
   bool told_;
-  policy::Timestamp at_ = 24h, wake_{};
+  policy::Timestamp at_ = kStart, wake_{};
   Engine engine_;
 };
 
@@ -275,7 +276,7 @@
   EndpointHealth beliefs{EndpointHealth::Settings{}};
   std::vector<EndpointHealth::ListedEndpoint> named;
   for (std::uint32_t i = 0; i < hosts; ++i) named.push_back({i, policy::EndpointState::active, {}});
-  policy::Timestamp at = 24h;
+  policy::Timestamp at = kStart;
   beliefs.onList(at, policy::EndpointListKind::replace, named);
   const auto begin = Clock::now();
   for (int i = 0; i < calls; ++i) {
--- a/include/cairnjunction/load_balancer.hpp
+++ b/include/cairnjunction/load_balancer.hpp
@@ -18,11 +18,11 @@
 #include <string_view>
 #include <vector>
 
+#include "cairnjunction/time.hpp"
+
 namespace cairnjunction::policy {
 
-using Duration = std::chrono::nanoseconds;
-using Timestamp = std::chrono::nanoseconds;  // since any fixed start; must never go back
-using RequestId = std::uint64_t;             // chosen by the caller, never used again
+using RequestId = std::uint64_t;   // chosen by the caller, never used again
 using EndpointId = std::uint32_t;  // given out by the Balancer at first sight of an address; see forget
 inline constexpr std::uint32_t kNone = UINT32_MAX;
 
@@ -126,7 +126,7 @@
   brokenWhileWriting,   // connectFailed: the connection broke before the last byte was written
   cancelledBeforeSend,  // connectFailed: taken back unwritten; the list drained, dropped or moved the host,
                         // or the client left
-  malformedResponse  // error, reset: what came is no answer that can be read
+  malformedResponse     // error, reset: what came is no answer that can be read
 };
 
 enum class ConnectionUse {
@@ -174,8 +174,10 @@
   std::uint32_t attempt = 0;  // send, cancel: number of the attempt, from 0
   // send; close: its idle connections; forget: gone, no open request names it, its id may be given out again
   EndpointId endpoint = kNone;
-  Duration span{};   // send: time limit; refuse: retry-after (0 = none); wake: the clock time
-  std::string text;  // log
+  Duration timeLimit{};   // send: how long the attempt may take
+  Duration retryAfter{};  // reject: what the client is told to wait; 0 = nothing
+  Timestamp wakeAt{};     // scheduleWake
+  std::string text;       // log
 };
 
 class LoadBalancer {
--- /dev/null
+++ b/include/cairnjunction/time.hpp
@@ -0,0 +1,23 @@
+// Points in time and spans of time, as the load balancer is told them.
+#pragma once
+
+#include <chrono>
+
+namespace cairnjunction::policy {
+
+using Duration = std::chrono::nanoseconds;
+
+// The caller's monotonic clock. The load balancer never reads it: each event carries the time at which it
+// happened.
+struct MonotonicClock {
+  using duration = Duration;
+  using rep = duration::rep;
+  using period = duration::period;
+  using time_point = std::chrono::time_point<MonotonicClock>;
+  static constexpr bool is_steady = true;
+};
+
+// Since any fixed start; must never go back. A default one, zero, stands for "never" or "long past".
+using Timestamp = MonotonicClock::time_point;
+
+}  // namespace cairnjunction::policy
--- a/src/app/load_balancer_clock.hpp
+++ b/src/app/load_balancer_clock.hpp
@@ -10,7 +10,7 @@
 
 class LoadBalancerClock {
  public:
-  static constexpr policy::Timestamp kStart = std::chrono::hours(24);
+  static constexpr policy::Timestamp kStart{std::chrono::hours(24)};
 
   policy::Timestamp now() const { return kStart + (std::chrono::steady_clock::now() - start_); }
   std::chrono::steady_clock::time_point at(policy::Timestamp time) const { return start_ + (time - kStart); }
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -219,7 +219,7 @@
       throw BadConfig(std::string("known: ") + bad.what());
     }
   try {  // the module judges its own settings
-    policy::LoadBalancer probe(config.module, Duration{});
+    policy::LoadBalancer probe(config.module, policy::Timestamp{});
   } catch (const std::invalid_argument& bad) {
     throw BadConfig(bad.what());
   }
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -309,9 +309,9 @@
       return upstream_.forget(action.endpoint);
     case ActionKind::scheduleWake:
       // Only the earliest wake counts: the module asks anew at each event for the next.
-      if (wakeAt_ > Timestamp{} && wakeAt_ <= action.span) return;
-      wakeAt_ = action.span;
-      return runtime_.wakeAt(action.span);
+      if (wakeAt_ > Timestamp{} && wakeAt_ <= action.wakeAt) return;
+      wakeAt_ = action.wakeAt;
+      return runtime_.wakeAt(action.wakeAt);
     case ActionKind::pollEndpoints: return runtime_.pollEndpoints();
     case ActionKind::log: return runtime_.log(action.text);
   }
@@ -341,7 +341,7 @@
   open.sentAt = now;
   const Duration written = until == Timestamp::max() ? Duration::max() : until - now;
   upstream_.start({action.request, action.attempt}, action.endpoint, open.call,
-                  {std::min(action.span, left), written});
+                  {std::min(action.timeLimit, left), written});
 }
 
 Timestamp Engine::writableUntil(const Open& open) const {
@@ -363,8 +363,9 @@
   const auto it = calls_.find(action.request);
   if (it == calls_.end() || it->second.ended) return;
   const bool refused = action.kind == ActionKind::reject;
-  reply(action.request, it->second,
-        {refused ? ReplyStatus::rejected : ReplyStatus::failed, {}, refused ? action.span : Duration{}});
+  reply(
+      action.request, it->second,
+      {refused ? ReplyStatus::rejected : ReplyStatus::failed, {}, refused ? action.retryAfter : Duration{}});
 }
 
 void Engine::reply(CallId id, Open& open, Reply reply) {
--- a/src/jsonrpc/frontend.cpp
+++ b/src/jsonrpc/frontend.cpp
@@ -54,7 +54,7 @@
   expire();
 }
 
-policy::Timestamp Frontend::now() const { return Clock::now() - start_; }
+policy::Timestamp Frontend::now() const { return policy::Timestamp(Clock::now() - start_); }
 
 void Frontend::expire() {
   expirer_.expires_after(kExpire);
--- a/src/policy/attempts.cpp
+++ b/src/policy/attempts.cpp
@@ -105,7 +105,7 @@
   ++h.inflight;
   ++h.named;
   ++r.out;
-  emit(ActionKind::send, r.id, r.count++, id, last - now);
+  emit(ActionKind::send, r.id, r.count++, id).timeLimit = last - now;
   return true;
 }
 
@@ -183,7 +183,7 @@
   Duration after{};
   if (set.retryAfterAllowed)
     after = scaled(set.maxRetryAfter, std::max(1 - r.score / 100, kAfterLeast) * (0.5 + 0.5 * drawUnit()));
-  emit(ActionKind::reject, r.id, 0, kNone, after);
+  emit(ActionKind::reject, r.id).retryAfter = after;
 }
 
 void Module::end(Open& r) {
--- a/src/policy/module.hpp
+++ b/src/policy/module.hpp
@@ -90,12 +90,16 @@
   std::size_t drawBelow(std::size_t n) {
     return static_cast<std::size_t>(drawUnit() * static_cast<double>(n));
   }
-  void emit(ActionKind kind, RequestId id = 0, std::uint32_t attempt = 0, EndpointId host = kNone,
-            Duration span = {}) {
-    out.push_back({kind, id, attempt, host, span, {}});
+  Action& emit(ActionKind kind, RequestId id = 0, std::uint32_t attempt = 0, EndpointId host = kNone) {
+    Action& action = out.emplace_back();
+    action.kind = kind;
+    action.request = id;
+    action.attempt = attempt;
+    action.endpoint = host;
+    return action;
   }
   void log(std::string text) {
-    out.push_back({ActionKind::log, 0, 0, kNone, {}, std::move(text)});
+    emit(ActionKind::log).text = std::move(text);
     logged = now;
   }
   bool mayLog() const { return now - logged >= kLogEvery || logged == Timestamp{}; }
--- a/src/policy/timers.cpp
+++ b/src/policy/timers.cpp
@@ -56,7 +56,7 @@
   want = std::max(want, now + Duration(1));
   if (armed > now && armed <= want) return;
   armed = want;
-  emit(ActionKind::scheduleWake, 0, 0, kNone, want);
+  emit(ActionKind::scheduleWake).wakeAt = want;
 }
 
 }  // namespace cairnjunction::policy
--- a/src/sim/adapter.cpp
+++ b/src/sim/adapter.cpp
@@ -310,7 +310,7 @@
   }
   if (name == "TIMEOUT_FIRED") {
     Gateway& g = gatewayOf(rest);
-    g.balancer.onWake(Timestamp(clock_));
+    g.balancer.onWake(Timestamp(Duration(clock_)));
     return print(g);
   }
   if (name == "LEFT" || name == "HEAD_RECEIVED") {
@@ -324,10 +324,10 @@
     Gateway::Ref* ref = g.find(id, slot);
     if (!ref) return;  // it may have been dropped already
     if (name == "LEFT") {
-      g.balancer.onClientDisconnected(Timestamp(clock_), g.idOf(slot));
+      g.balancer.onClientDisconnected(Timestamp(Duration(clock_)), g.idOf(slot));
       ref->ended = true;
     } else {
-      g.balancer.onResponseStarted(Timestamp(clock_), g.idOf(slot), attempt);
+      g.balancer.onResponseStarted(Timestamp(Duration(clock_)), g.idOf(slot), attempt);
     }
     print(g);
     if (name == "LEFT" && g.find(id, slot)) g.dropIfOver(slot);
@@ -356,7 +356,7 @@
   }
   try {
     gateways_.emplace(std::string(name),
-                      std::make_unique<Gateway>(name, readSettings(rest), Timestamp(clock_)));
+                      std::make_unique<Gateway>(name, readSettings(rest), Timestamp(Duration(clock_))));
   } catch (const std::invalid_argument& bad) {
     throw BadLine(bad.what());
   }
@@ -387,7 +387,7 @@
     else if (p.name == "machine") e.machineKind = p.value;
     else if (p.name == "block") e.cell = number<std::int64_t>(p);
     else if (p.name == "capacityHint") e.weight = number<double>(p);
-    else if (p.name == "upSinceNs") e.startedAt = span(p);
+    else if (p.name == "upSinceNs") e.startedAt = Timestamp(span(p));
     else if (p.name == "phase") {
       if (p.value == "IN") e.state = EndpointState::active;
       else if (p.value == "LAME") e.state = EndpointState::draining;
@@ -408,7 +408,7 @@
     else if (p.name == "buffer" && p.value != "-") index = number<std::size_t>(p);
   static const std::vector<EndpointInfo> none;
   if (kind == "unavailable") {
-    g.balancer.onEndpoints(Timestamp(clock_), EndpointListKind::unavailable, none);
+    g.balancer.onEndpoints(Timestamp(Duration(clock_)), EndpointListKind::unavailable, none);
     return print(g);
   }
   EndpointListKind what;
@@ -417,7 +417,7 @@
   else if (kind == "restored") what = EndpointListKind::restored;
   else throw BadLine("unknown kind of news");
   if (index >= lists_.size() || !lists_[index].known) throw BadLine("unknown list");
-  g.balancer.onEndpoints(Timestamp(clock_), what, lists_[index].entries);
+  g.balancer.onEndpoints(Timestamp(Duration(clock_)), what, lists_[index].entries);
   print(g);
 }
 
@@ -466,7 +466,7 @@
     throw;
   }
   q.id = g.take(id);
-  g.balancer.onRequest(Timestamp(clock_), q);
+  g.balancer.onRequest(Timestamp(Duration(clock_)), q);
   print(g);
 }
 
@@ -493,7 +493,7 @@
   a.request = g.idOf(slot);
   if (ref->out > 0) --ref->out;
   if (a.endsRequest) ref->ended = true;
-  g.balancer.onResult(Timestamp(clock_), a);
+  g.balancer.onResult(Timestamp(Duration(clock_)), a);
   print(g);
   if (g.find(id, slot)) g.dropIfOver(slot);
 }
@@ -507,15 +507,15 @@
         ++g.refs[slot].out;
         out.append("FORWARD i=").append(g.name).append(" ref=").append(g.refs[slot].id);
         out.append(" host=").append(g.balancer.address(a.endpoint)).append(" withinNs=");
-        append(out, a.span.count());
+        append(out, a.timeLimit.count());
         break;
       case ActionKind::reject:
       case ActionKind::fail:
         out.append(a.kind == ActionKind::reject ? "TURN_AWAY i=" : "RESPOND_ERROR i=");
         out.append(g.name).append(" ref=").append(g.refs[slot].id);
-        if (a.kind == ActionKind::reject && a.span > Duration{}) {
+        if (a.kind == ActionKind::reject && a.retryAfter > Duration{}) {
           out.append(" notBeforeForNs=");
-          append(out, a.span.count());
+          append(out, a.retryAfter.count());
         }
         g.refs[slot].ended = true;
         break;
@@ -529,7 +529,7 @@
       case ActionKind::forgetEndpoint: continue;  // names of hosts are used here, not ids
       case ActionKind::scheduleWake:
         out.append("WAKE_AT i=").append(g.name).append(" alarmTimeNs=");
-        append(out, a.span.count());
+        append(out, a.wakeAt.time_since_epoch().count());
         out.append(" ref=w");
         break;
       case ActionKind::pollEndpoints: out.append("SUBSCRIBE i=").append(g.name).append(" active=1"); break;
--- a/tests/core/engine_test.cpp
+++ b/tests/core/engine_test.cpp
@@ -40,7 +40,7 @@
 }
 
 struct TestRuntime final : Runtime {
-  Timestamp at = 24h;
+  Timestamp at{24h};
   Timestamp wake{};
   int subscribed = 0;
   Timestamp now() const override { return at; }
--- a/tests/embed/main.cpp
+++ b/tests/embed/main.cpp
@@ -13,16 +13,17 @@
   reads.clientTimeout = 1s;
   settings.classes = {reads};
 
-  cairnjunction::policy::LoadBalancer balancer(settings, 0ns);  // throws std::invalid_argument on nonsense
+  const cairnjunction::policy::Timestamp start{};                 // any fixed point: the caller has the clock
+  cairnjunction::policy::LoadBalancer balancer(settings, start);  // throws std::invalid_argument on nonsense
   cairnjunction::policy::EndpointInfo endpoint;
   endpoint.address = "10.0.0.1:8080";
-  balancer.onEndpoints(0ns, cairnjunction::policy::EndpointListKind::replace, {endpoint});
+  balancer.onEndpoints(start, cairnjunction::policy::EndpointListKind::replace, {endpoint});
 
   cairnjunction::policy::Request request;
   request.id = 1;
   request.classIndex = 0;
   request.timeRemaining = 1s;
-  balancer.onRequest(1ms, request);
+  balancer.onRequest(start + 1ms, request);
   for (const cairnjunction::policy::Action& action : balancer.actions())
     if (action.kind == cairnjunction::policy::ActionKind::send)
       std::printf("send %llu to %s\n", static_cast<unsigned long long>(action.request),
--- a/tests/jsonrpc/session_table_test.cpp
+++ b/tests/jsonrpc/session_table_test.cpp
@@ -23,48 +23,48 @@
 TEST(SessionTable, HoldsAnAnswerForItsTimeAndForgetsIt) {
   SessionTable table(limits());
   SessionTable::Id id = 0;
-  ASSERT_EQ(table.open(0s, "yard", false, id), Opened::fresh);
-  EXPECT_EQ(table.begin(1s, id, "n1", 5, 77).begun, Begun::first);
-  const auto running = table.begin(2s, id, "n1", 5, 78);
+  ASSERT_EQ(table.open(Time(0s), "yard", false, id), Opened::fresh);
+  EXPECT_EQ(table.begin(Time(1s), id, "n1", 5, 77).begun, Begun::first);
+  const auto running = table.begin(Time(2s), id, "n1", 5, 78);
   EXPECT_EQ(running.begun, Begun::running);
   EXPECT_EQ(running.ticket, 77u);
-  table.answered(3s, id, "n1", {false, "42"});
-  const auto answered = table.begin(62s, id, "n1", 5, 79);
+  table.answered(Time(3s), id, "n1", {false, "42"});
+  const auto answered = table.begin(Time(62s), id, "n1", 5, 79);
   ASSERT_EQ(answered.begun, Begun::answered);
   EXPECT_EQ(answered.answer->json, "42");
-  EXPECT_EQ(table.begin(62s, id, "n1", 6, 79).begun, Begun::different);
-  EXPECT_EQ(table.begin(63s, id, "n1", 5, 80).begun, Begun::first) << "its time is over";
+  EXPECT_EQ(table.begin(Time(62s), id, "n1", 6, 79).begun, Begun::different);
+  EXPECT_EQ(table.begin(Time(63s), id, "n1", 5, 80).begun, Begun::first) << "its time is over";
 }
 
 TEST(SessionTable, WhatWasHeldAtADropIsHeldForItsTimeFromTheDropOn) {
   SessionTable table(limits());
   SessionTable::Id id = 0;
-  table.open(0s, "yard", false, id);
-  table.begin(0s, id, "n1", 5, 1);
-  table.answered(1s, id, "n1", {false, "1"});
-  table.detach(50s, id);
-  table.expire(100s);
+  table.open(Time(0s), "yard", false, id);
+  table.begin(Time(0s), id, "n1", 5, 1);
+  table.answered(Time(1s), id, "n1", {false, "1"});
+  table.detach(Time(50s), id);
+  table.expire(Time(100s));
   EXPECT_EQ(table.entries(), 1u) << "answered 99 s ago, dropped 50 s ago";
   SessionTable::Id again = 0;
-  ASSERT_EQ(table.open(105s, "yard", true, again), Opened::resumed);
+  ASSERT_EQ(table.open(Time(105s), "yard", true, again), Opened::resumed);
   EXPECT_EQ(again, id);
-  EXPECT_EQ(table.begin(160s, id, "n1", 5, 2).begun, Begun::answered);
+  EXPECT_EQ(table.begin(Time(160s), id, "n1", 5, 2).begun, Begun::answered);
 }
 
 TEST(SessionTable, ADetachedSessionIsForgottenAndResumingSaysSo) {
   SessionTable table(limits());
   SessionTable::Id id = 0;
-  table.open(0s, "yard", false, id);
-  table.begin(0s, id, "n1", 5, 1);
-  table.detach(1s, id);
-  table.open(30s, "yard", false, id);
-  table.detach(40s, id);
-  table.expire(99s);
+  table.open(Time(0s), "yard", false, id);
+  table.begin(Time(0s), id, "n1", 5, 1);
+  table.detach(Time(1s), id);
+  table.open(Time(30s), "yard", false, id);
+  table.detach(Time(40s), id);
+  table.expire(Time(99s));
   EXPECT_EQ(table.sessions(), 1u) << "the last drop counts";
-  EXPECT_EQ(table.open(100s, "yard", true, id), Opened::notHeld);
+  EXPECT_EQ(table.open(Time(100s), "yard", true, id), Opened::notHeld);
   EXPECT_EQ(table.entries(), 0u);
   EXPECT_EQ(table.bytes(), 0u);
-  table.answered(101s, id, "n1", {false, "late"});  // its run ends later than the session: for nobody
+  table.answered(Time(101s), id, "n1", {false, "late"});  // its run ends later than the session: for nobody
   EXPECT_EQ(table.bytes(), 0u);
 }
 
@@ -75,17 +75,17 @@
   l.entriesOfOne = 2;
   SessionTable table(l);
   SessionTable::Id a = 0, b = 0, c = 0;
-  table.open(0s, "a", false, a);
-  table.open(0s, "b", false, b);
-  EXPECT_EQ(table.open(0s, "c", false, c), Opened::full);
-  EXPECT_EQ(table.begin(0s, a, "n1", 1, 1).begun, Begun::first);
-  EXPECT_EQ(table.begin(0s, a, "n2", 1, 2).begun, Begun::first);
-  EXPECT_EQ(table.begin(0s, a, "n3", 1, 3).begun, Begun::full) << "one client has no more";
-  EXPECT_EQ(table.begin(0s, b, "n1", 1, 4).begun, Begun::first);
-  EXPECT_EQ(table.begin(0s, b, "n2", 1, 5).begun, Begun::full);
-  EXPECT_EQ(table.begin(0s, a, "n1", 1, 6).begun, Begun::running);
+  table.open(Time(0s), "a", false, a);
+  table.open(Time(0s), "b", false, b);
+  EXPECT_EQ(table.open(Time(0s), "c", false, c), Opened::full);
+  EXPECT_EQ(table.begin(Time(0s), a, "n1", 1, 1).begun, Begun::first);
+  EXPECT_EQ(table.begin(Time(0s), a, "n2", 1, 2).begun, Begun::first);
+  EXPECT_EQ(table.begin(Time(0s), a, "n3", 1, 3).begun, Begun::full) << "one client has no more";
+  EXPECT_EQ(table.begin(Time(0s), b, "n1", 1, 4).begun, Begun::first);
+  EXPECT_EQ(table.begin(Time(0s), b, "n2", 1, 5).begun, Begun::full);
+  EXPECT_EQ(table.begin(Time(0s), a, "n1", 1, 6).begun, Begun::running);
   table.neverRan(a, "n1");
-  EXPECT_EQ(table.begin(0s, b, "n2", 1, 7).begun, Begun::first);
+  EXPECT_EQ(table.begin(Time(0s), b, "n2", 1, 7).begun, Begun::first);
 }
 
 TEST(SessionTable, BytesAreBounded) {
@@ -93,12 +93,12 @@
   l.bytes = 1000;
   SessionTable table(l);
   SessionTable::Id id = 0;
-  table.open(0s, "a", false, id);
-  EXPECT_EQ(table.begin(0s, id, "n1", 1, 1).begun, Begun::first);
-  table.answered(0s, id, "n1", {false, std::string(900, 'x')});
-  EXPECT_EQ(table.begin(0s, id, "n2", 1, 2).begun, Begun::full);
-  EXPECT_EQ(table.begin(59s, id, "n1", 1, 3).begun, Begun::answered);
-  EXPECT_EQ(table.begin(61s, id, "n2", 1, 4).begun, Begun::first);
+  table.open(Time(0s), "a", false, id);
+  EXPECT_EQ(table.begin(Time(0s), id, "n1", 1, 1).begun, Begun::first);
+  table.answered(Time(0s), id, "n1", {false, std::string(900, 'x')});
+  EXPECT_EQ(table.begin(Time(0s), id, "n2", 1, 2).begun, Begun::full);
+  EXPECT_EQ(table.begin(Time(59s), id, "n1", 1, 3).begun, Begun::answered);
+  EXPECT_EQ(table.begin(Time(61s), id, "n2", 1, 4).begun, Begun::first);
 }
 
 // Against a simple model: an id that was begun and answered less than a time to live ago is never first
@@ -109,7 +109,7 @@
     SessionTable::Limits l = limits();
     l.entries = 40;
     SessionTable table(l);
-    Time now = 0s;
+    Time now{};
     std::map<std::string, Time> heldUntil;  // by session and id
     std::map<std::string, bool> running;
     std::map<int, SessionTable::Id> attached;
--- a/tests/membership/endpoint_health_test.cpp
+++ b/tests/membership/endpoint_health_test.cpp
@@ -23,7 +23,7 @@
 
 class MembershipTest : public ::testing::Test {
  protected:
-  Timestamp now = 24h;
+  Timestamp now{24h};
   EndpointHealth::Settings settings;
   std::unique_ptr<EndpointHealth> beliefs;
   std::map<EndpointId, Reachability> reach;  // as the module has been told
@@ -414,7 +414,7 @@
 TEST_F(MembershipTest, GatewaysThatSeeOneFailureDoNotAskInOneMoment) {
   std::vector<Timestamp> asked;
   for (const double spread : {0.1, 0.5, 0.9}) {
-    now = 24h;
+    now = Timestamp(24h);
     settings.jitter = spread;
     beliefs = std::make_unique<EndpointHealth>(settings);
     list(3);
--- a/tests/membership/gateway_test.cpp
+++ b/tests/membership/gateway_test.cpp
@@ -85,7 +85,7 @@
     const auto& engine = gateway->engine();
     const auto id = engine.findEndpoint(uid);
     return id == policy::kNone ? EndpointCondition::removed
-                               : engine.endpointHealth().statusOf(id, 48h).condition;
+                               : engine.endpointHealth().statusOf(id, policy::Timestamp(48h)).condition;
   }
 };
 
--- a/tests/membership/pool_property_test.cpp
+++ b/tests/membership/pool_property_test.cpp
@@ -81,7 +81,7 @@
 class Play : public LoopTest, public ::testing::WithParamInterface<unsigned> {
  protected:
   struct Clock final : Runtime {
-    Timestamp at = 24h, wake{};
+    Timestamp at{24h}, wake{};
     int doubts = 0;
     Timestamp now() const override { return at; }
     void wakeAt(Timestamp t) override { wake = t; }
--- a/tests/policy/driver.hpp
+++ b/tests/policy/driver.hpp
@@ -127,12 +127,12 @@
   void collect() {
     for (Action& a : balancer.actions()) {
       if (a.kind == ActionKind::send) {
-        sent.push_back({a.request, a.attempt, a.endpoint, now, a.span});
+        sent.push_back({a.request, a.attempt, a.endpoint, now, a.timeLimit});
         out.push_back(sent.back());
       } else if (a.kind == ActionKind::reject || a.kind == ActionKind::fail) {
         EXPECT_EQ(answers.count(a.request), 0u) << "answered twice";
         answers[a.request] = a.kind;
-        retryAfter[a.request] = a.span;
+        retryAfter[a.request] = a.retryAfter;
       }
       all.push_back(std::move(a));
     }
--- a/tests/policy/recorded_test.cpp
+++ b/tests/policy/recorded_test.cpp
@@ -265,7 +265,7 @@
     number(a.request);
     number(a.attempt);
     number(a.endpoint);
-    number(a.span.count());
+    number((a.timeLimit + a.retryAfter + a.wakeAt.time_since_epoch()).count());
   }
   std::uint64_t value() const { return value_; }
 
@@ -389,7 +389,7 @@
   void noteQuota(const Request& q) {
     if (q.tenantIndex >= settings_.tenants.size()) return;
     const double quota = settings_.tenants[q.tenantIndex].quotaPerSecond;
-    const double passed = std::chrono::duration<double>(now_ - seconds(100)).count();
+    const double passed = std::chrono::duration<double>(now_ - Timestamp(seconds(100))).count();
     if (quota > 0 && static_cast<double>(++askedBy_[q.tenantIndex]) > quota * (passed + 1))
       ++counts_["requests over quota"];
   }
@@ -657,7 +657,7 @@
           connections_.erase(a.endpoint);
           reach_.erase(a.endpoint);
           break;
-        case ActionKind::scheduleWake: wake_ = a.span; break;
+        case ActionKind::scheduleWake: wake_ = a.wakeAt; break;
         default: break;
       }
     }
@@ -676,8 +676,8 @@
         break;
       }
     const bool slow = happens(scenario_.slowShare);
-    out_.push_back(
-        {a.request, a.attempt, a.endpoint, now_, a.span, slow ? now_ + scenario_.slowTime : Timestamp{}});
+    out_.push_back({a.request, a.attempt, a.endpoint, now_, a.timeLimit,
+                    slow ? now_ + scenario_.slowTime : Timestamp{}});
     if (happens(scenario_.exactCounts ? 0.7 : 0)) openFor(a.endpoint);  // else no new connection is begun
     if (a.attempt == 0 && a.request != asked_) ++counts_["waits"];
     if (a.attempt == 0 && q.hasKey) {
@@ -733,7 +733,7 @@
   Scenario scenario_;
   Settings settings_;  // in force
   std::mt19937_64 engine_;
-  Timestamp now_ = seconds(100), wake_{};
+  Timestamp now_{seconds(100)}, wake_{};
   LoadBalancer balancer_;
   std::vector<EndpointInfo> hosts_;
   std::vector<OutAttempt> out_;
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -455,8 +455,8 @@
   s.classes[2].dedupScope = static_cast<DedupScope>(seed % 3);
   std::mt19937_64 engine(seed * 77 + 1);
   const auto below = [&](std::uint64_t n) { return engine() % n; };
-  LoadBalancer b(s, seconds(50));
-  Timestamp now = seconds(50);
+  Timestamp now{seconds(50)};
+  LoadBalancer b(s, now);
   std::map<RequestId, Seen> seen;
   std::map<EndpointId, EndpointState> phase;
   std::map<EndpointId, EndpointInfo> entries;
@@ -470,7 +470,8 @@
   const auto check = [&] {
     for (const Action& a : b.actions()) {
       trace += std::to_string(static_cast<int>(a.kind)) + ":" + std::to_string(a.request) + ":" +
-               std::to_string(a.endpoint) + ":" + std::to_string(a.span.count()) + " ";
+               std::to_string(a.endpoint) + ":" +
+               std::to_string((a.timeLimit + a.retryAfter + a.wakeAt.time_since_epoch()).count()) + " ";
       if (a.kind == ActionKind::scheduleWake || a.kind == ActionKind::log ||
           a.kind == ActionKind::pollEndpoints || a.kind == ActionKind::closeIdle ||
           a.kind == ActionKind::forgetEndpoint)
@@ -486,7 +487,7 @@
       if (a.kind == ActionKind::send) {
         EXPECT_FALSE(r.over);
         EXPECT_LT(now, r.deadline);
-        EXPECT_LE(now + a.span, r.deadline);
+        EXPECT_LE(now + a.timeLimit, r.deadline);
         EXPECT_EQ(entries.at(a.endpoint).state, EndpointState::active);
         EXPECT_EQ(a.attempt, r.tries.size());
         EXPECT_LT(a.attempt, s.maxAttempts);
@@ -500,7 +501,7 @@
             if (c.dedupScope == DedupScope::cell) EXPECT_EQ(was.cell, is.cell);
             EXPECT_LE(now, r.tries[i].at + c.dedupWindow);
           }
-        r.tries.push_back({a.request, a.attempt, a.endpoint, now, a.span});
+        r.tries.push_back({a.request, a.attempt, a.endpoint, now, a.timeLimit});
         r.state.push_back(0);
       } else if (a.kind == ActionKind::reject || a.kind == ActionKind::fail) {
         EXPECT_FALSE(r.over);
--- a/tests/pools/pools_test.cpp
+++ b/tests/pools/pools_test.cpp
@@ -21,13 +21,13 @@
   two[0].failsMost = 2;
   PassiveHealthFilter plan(two);
   EXPECT_EQ(plan.offered(), (V{true, true}));
-  EXPECT_FALSE(plan.onResult(1s, 0, true));
-  EXPECT_FALSE(plan.onResult(12s, 0, true));  // the first one is too long ago
-  EXPECT_TRUE(plan.onResult(13s, 0, true));
+  EXPECT_FALSE(plan.onResult(Timestamp(1s), 0, true));
+  EXPECT_FALSE(plan.onResult(Timestamp(12s), 0, true));  // the first one is too long ago
+  EXPECT_TRUE(plan.onResult(Timestamp(13s), 0, true));
   EXPECT_EQ(plan.offered(), (V{false, true}));
   EXPECT_EQ(plan.next(), Timestamp(23s));
-  EXPECT_FALSE(plan.onTime(22s));
-  EXPECT_TRUE(plan.onTime(23s));
+  EXPECT_FALSE(plan.onTime(Timestamp(22s)));
+  EXPECT_TRUE(plan.onTime(Timestamp(23s)));
   EXPECT_EQ(plan.offered(), (V{true, true}));
   EXPECT_FALSE(plan.next());
 }
@@ -36,9 +36,9 @@
   auto two = servers(2);
   two[0].failsMost = 2;
   PassiveHealthFilter plan(two);
-  plan.onResult(1s, 0, true);
-  plan.onResult(2s, 0, false);
-  EXPECT_FALSE(plan.onResult(3s, 0, true));
+  plan.onResult(Timestamp(1s), 0, true);
+  plan.onResult(Timestamp(2s), 0, false);
+  EXPECT_FALSE(plan.onResult(Timestamp(3s), 0, true));
 }
 
 TEST(PlanTest, BackupsAreOfferedOnlyWhileNoOtherIsIn) {
@@ -47,13 +47,13 @@
   all[3].down = true;
   PassiveHealthFilter plan(all);
   EXPECT_EQ(plan.offered(), (V{true, true, false, false}));
-  plan.onResult(1s, 0, true);
+  plan.onResult(Timestamp(1s), 0, true);
   EXPECT_EQ(plan.offered(), (V{false, true, false, false}));
-  plan.onResult(2s, 1, true);
+  plan.onResult(Timestamp(2s), 1, true);
   EXPECT_EQ(plan.offered(), (V{false, false, true, false}));
-  plan.onResult(3s, 2, true);
+  plan.onResult(Timestamp(3s), 2, true);
   EXPECT_EQ(plan.offered(), (V{true, true, true, false}));  // any beats none, but what is down stays down
-  plan.onTime(11s);
+  plan.onTime(Timestamp(11s));
   EXPECT_EQ(plan.offered(), (V{true, false, false, false}));
 }
 
@@ -69,11 +69,11 @@
 
 TEST(PlanTest, ASingleServerAndOneWithNoMostAreNeverOut) {
   PassiveHealthFilter single(servers(1));
-  EXPECT_FALSE(single.onResult(1s, 0, true));
+  EXPECT_FALSE(single.onResult(Timestamp(1s), 0, true));
   auto two = servers(2);
   two[0].failsMost = 0;
   PassiveHealthFilter plan(two);
-  for (int i = 0; i < 10; ++i) EXPECT_FALSE(plan.onResult(Timestamp(i), 0, true));
+  for (int i = 0; i < 10; ++i) EXPECT_FALSE(plan.onResult(Timestamp(policy::Duration(i)), 0, true));
 }
 
 TEST(PlanTest, WhatCountsAsAFailure) {
@@ -187,7 +187,7 @@
   d.location = &location;
   for (int i = 0; i < 1000; ++i) {
     d.rates = {{0, std::to_string(i), 0}};
-    EXPECT_EQ(limiter.admit(Timestamp(i), d), 0);
+    EXPECT_EQ(limiter.admit(limits::Time(i), d), 0);
     EXPECT_LE(limiter.keys(), 10u);
   }
 }
