--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,4 +1,3 @@
-// The operators' door.
 #include "admin/admin_server.hpp"
 
 #include <array>
@@ -13,107 +12,114 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr auto kAcceptAgain = std::chrono::milliseconds(20);  // when no descriptor is left
+constexpr auto kAcceptAgain = std::chrono::milliseconds(20);  // after a failed accept
 
 }  // namespace
 
-class Door::Caller : public std::enable_shared_from_this<Caller> {
+class AdminServer::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Caller(Door& door, tcp::socket socket)
-      : door_(&door), socket_(std::move(socket)), timer_(door.io_, kPatience) {}
+  Connection(AdminServer& server, tcp::socket socket)
+      : server_(&server), socket_(std::move(socket)), timer_(server.io_, kConnectionTimeout) {}
 
   void start() {
     timer_.async_wait([self = shared_from_this()](error_code ec) {
-      if (!ec) self->leave();
+      if (!ec) self->disconnect();
     });
     read();
   }
 
   void close() {
-    door_ = nullptr;
-    timer_.cancel();
+    server_ = nullptr;
     error_code ignored;
+    timer_.cancel(ignored);
     socket_.close(ignored);
   }
 
  private:
-  void leave() {
-    if (door_) door_->leave(shared_from_this());
+  void disconnect() {
+    if (server_) server_->disconnect(shared_from_this());
   }
 
   void read() {
-    socket_.async_read_some(asio::buffer(chunk_), [self = shared_from_this()](error_code ec, std::size_t n) {
-      if (!self->door_) return;
-      if (ec) return self->leave();
-      self->line_.append(self->chunk_.data(), n);
-      const std::size_t end = self->line_.find('\n');
-      if (end != std::string::npos) return self->answer(std::string_view(self->line_).substr(0, end));
-      if (self->line_.size() > kLineMost) return self->write("FAILURE the line is too long\n");
-      self->read();
-    });
+    socket_.async_read_some(asio::buffer(chunk_),
+                            [self = shared_from_this()](error_code ec, std::size_t size) {
+                              if (!self->server_) return;
+                              if (ec) return self->disconnect();
+                              self->request_.append(self->chunk_.data(), size);
+                              const std::size_t end = self->request_.find('\n');
+                              if (end != std::string::npos)
+                                return self->handleLine(std::string_view(self->request_).substr(0, end));
+                              if (self->request_.size() > kMaxLineBytes)
+                                return self->write("FAILURE the line is too long\n");
+                              self->read();
+                            });
   }
 
-  void answer(std::string_view line) {
+  void handleLine(std::string_view line) {
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-    write(line.size() > kLineMost ? "FAILURE the line is too long\n" : door_->answer_(line));
+    write(line.size() > kMaxLineBytes ? "FAILURE the line is too long\n" : server_->handler_(line));
   }
 
   void write(std::string text) {
-    text_ = std::move(text);
-    asio::async_write(socket_, asio::buffer(text_), [self = shared_from_this()](error_code, std::size_t) {
-      if (!self->door_) return;
-      // Danger: closed with unread bytes in it, the connection would be reset, and the answer lost.
+    response_ = std::move(text);
+    asio::async_write(socket_, asio::buffer(response_), [self = shared_from_this()](error_code, std::size_t) {
+      if (!self->server_) return;
+      // Closing a socket with unread bytes resets the connection, and the client may lose the response. So
+      // only the sending side is shut down, and what the client still sends is read until it closes.
       error_code ignored;
       self->socket_.shutdown(tcp::socket::shutdown_send, ignored);
       self->drain();
     });
   }
 
-  void drain() {  // until the caller closes, or its time is over
+  void drain() {  // until the client closes, or the timer ends
     socket_.async_read_some(asio::buffer(chunk_), [self = shared_from_this()](error_code ec, std::size_t) {
-      if (!self->door_) return;
-      if (ec) return self->leave();
+      if (!self->server_) return;
+      if (ec) return self->disconnect();
       self->drain();
     });
   }
 
-  Door* door_;  // null once it has left
+  AdminServer* server_;  // null once disconnected
   tcp::socket socket_;
   asio::steady_timer timer_;
   std::array<char, 512> chunk_;
-  std::string line_, text_;
+  std::string request_, response_;
 };
 
-Door::Door(asio::io_context& io, const tcp::endpoint& listen, Answer answer)
-    : io_(io), acceptor_(io, listen, true), again_(io), answer_(std::move(answer)) {
+AdminServer::AdminServer(asio::io_context& io, const tcp::endpoint& listen, RequestHandler handler)
+    : io_(io), acceptor_(io, listen, true), acceptRetryTimer_(io), handler_(std::move(handler)) {
   accept();
 }
 
-Door::~Door() {
-  for (const auto& caller : callers_) caller->close();
+AdminServer::~AdminServer() {
+  for (const auto& connection : connections_) connection->close();
 }
 
-void Door::accept() {
-  acceptor_.async_accept(lifetime_.guard([this](error_code ec, tcp::socket socket) {
+void AdminServer::accept() {
+  acceptor_.async_accept(callbackGuard_.guard([this](error_code ec, tcp::socket socket) {
     if (ec == asio::error::operation_aborted) return;
-    if (ec) {  // Danger: with no descriptor left the listener stays ready, and the loop would spin.
-      again_.expires_after(kAcceptAgain);
-      again_.async_wait(lifetime_.guard([this](error_code stopped) {
+    if (ec) {
+      // With no descriptor left the listener stays ready, and accepting again at once would spin.
+      acceptRetryTimer_.expires_after(kAcceptAgain);
+      acceptRetryTimer_.async_wait(callbackGuard_.guard([this](error_code stopped) {
         if (!stopped) accept();
       }));
       return;
     }
-    if (callers_.size() >= kCallersMost) leave(callers_.front());
-    callers_.push_back(std::make_shared<Caller>(*this, std::move(socket)));
-    callers_.back()->start();
+    if (connections_.size() >= kMaxConnections) disconnect(connections_.front());
+    connections_.push_back(std::make_shared<Connection>(*this, std::move(socket)));
+    connections_.back()->start();
     accept();
   }));
 }
 
-void Door::leave(const std::shared_ptr<Caller>& caller) {
-  const std::shared_ptr<Caller> held = caller;
+void AdminServer::disconnect(const std::shared_ptr<Connection>& connection) {
+  // The list's own element may be what is passed: it is held until it is out of the list.
+  // NOLINTNEXTLINE(performance-unnecessary-copy-initialization): see above
+  const std::shared_ptr<Connection> held = connection;
   held->close();
-  callers_.remove(held);
+  connections_.remove(held);
 }
 
 }  // namespace cairnjunction::admin
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -1,6 +1,6 @@
-// The operators' door: a TCP listener of its own. Each connection carries one line, and is closed behind its
-// one answer. Callers that hold a connection with no whole line keep nobody out: the one that is there for
-// the longest time makes room.
+// The operators' TCP server. Each connection carries one request line and is closed after its response.
+// Clients that connect and send nothing keep nobody out: at the limit the oldest connection is closed for the
+// new one.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,36 +18,39 @@
 
 namespace cairnjunction::admin {
 
-class Door {
+class AdminServer {
  public:
-  // Of descriptors, which are the clients' and the hosts': one call at a time is usual, a few may hang.
-  static constexpr std::size_t kCallersMost = 8;
-  static constexpr std::size_t kLineMost = 256;        // bytes; the longest call has ten
-  static constexpr std::chrono::seconds kPatience{6};  // for a line, and for a caller to read its answer
+  // Descriptors are needed for clients and endpoints; operators usually call one at a time, and a few calls
+  // may hang.
+  static constexpr std::size_t kMaxConnections = 8;
+  static constexpr std::size_t kMaxLineBytes = 256;  // without the line end; the longest call has ten bytes
+  static constexpr std::chrono::seconds kConnectionTimeout{6};  // from accept until the client has closed
 
-  // What to answer to a line, which comes without its end (LF, or CR LF). Ends with LF. Must not throw.
-  using Answer = std::function<std::string(std::string_view line)>;
+  // Returns the response to a line, which comes without its end (LF or CR LF). The response ends with LF.
+  // Must not throw.
+  using RequestHandler = std::function<std::string(std::string_view line)>;
 
   // Listens at once. Throws boost::system::system_error.
-  Door(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen, Answer answer);
-  ~Door();
-  Door(const Door&) = delete;
-  Door& operator=(const Door&) = delete;
+  AdminServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen,
+              RequestHandler handler);
+  ~AdminServer();
+  AdminServer(const AdminServer&) = delete;
+  AdminServer& operator=(const AdminServer&) = delete;
 
   boost::asio::ip::tcp::endpoint listening() const { return acceptor_.local_endpoint(); }
-  std::size_t callers() const { return callers_.size(); }
+  std::size_t connectionCount() const { return connections_.size(); }
 
  private:
-  class Caller;
+  class Connection;
   void accept();
-  void leave(const std::shared_ptr<Caller>& caller);
+  void disconnect(const std::shared_ptr<Connection>& connection);
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer again_;
-  Answer answer_;
-  std::list<std::shared_ptr<Caller>> callers_;  // the one that came first is first
-  CallbackGuard lifetime_;                      // of what the event loop is still to call
+  boost::asio::steady_timer acceptRetryTimer_;
+  RequestHandler handler_;
+  std::list<std::shared_ptr<Connection>> connections_;  // oldest first
+  CallbackGuard callbackGuard_;                         // of handlers that are pending on the event loop
 };
 
 }  // namespace cairnjunction::admin
--- a/src/admin/figures.cpp
+++ b/src/admin/figures.cpp
@@ -1,4 +1,3 @@
-// The figures as text.
 #include "admin/figures.hpp"
 
 #include <algorithm>
@@ -17,13 +16,13 @@
 
 std::string reportText(const Figures& figures) {
   std::string text;
-  for (const ClassFigures& c : figures.classes) {
-    std::string name = "replies." + c.name;
+  for (const ClassFigures& counts : figures.classes) {
+    std::string name = "replies." + counts.name;
     std::replace_if(
-        name.begin(), name.end(), [](char b) { return b <= ' ' || b >= 0x7f || b == '='; }, '_');
-    line(text, name + ".success", c.success);
-    line(text, name + ".overload", c.overload);
-    line(text, name + ".error", c.error);
+        name.begin(), name.end(), [](char byte) { return byte <= ' ' || byte >= 0x7f || byte == '='; }, '_');
+    line(text, name + ".success", counts.success);
+    line(text, name + ".overload", counts.overload);
+    line(text, name + ".error", counts.error);
   }
   line(text, "dispatches", figures.dispatches);
   line(text, "concurrent", figures.concurrent);
--- a/src/app/gateway.cpp
+++ b/src/app/gateway.cpp
@@ -134,8 +134,8 @@
   // Danger: where lists are pushed the module asks for none, and what the agent has counts as told already.
   if (!settings_.pollDiscovery) pollEndpoints();
   if (config.mgmt)
-    door_ = std::make_unique<admin::Door>(io, *config.mgmt,
-                                          [this](std::string_view line) { return answerOperator(line); });
+    adminServer_ = std::make_unique<admin::AdminServer>(
+        io, *config.mgmt, [this](std::string_view line) { return answerOperator(line); });
 }
 
 Gateway::~Gateway() {
--- a/src/app/gateway.hpp
+++ b/src/app/gateway.hpp
@@ -60,7 +60,7 @@
   void reload(const Config& config, const jsonrpc::Settings& jsonRpc = {});
   void reloadFailed() { ++reloadFailures_; }  // a file was turned down
   admin::Figures figures() const;
-  const admin::Door* door() const { return door_.get(); }  // null: none
+  const admin::AdminServer* adminServer() const { return adminServer_.get(); }  // null: none
   std::size_t openRequests() const { return engine_.activeCalls(); }
   std::size_t hosts() const { return upstream_->endpointCount(); }
   const Engine& engine() const { return engine_; }
@@ -114,7 +114,7 @@
   HttpFrontend http_;                              // the fronts last: they may hand over calls from here on
   std::unique_ptr<jsonrpc::Frontend> jsonRpc_;
   std::uint64_t reloads_ = 0, reloadFailures_ = 0;
-  std::unique_ptr<admin::Door> door_;
+  std::unique_ptr<admin::AdminServer> adminServer_;
   std::unique_ptr<FleetEndpointLists> fleet_;
   CallbackGuard lifetime_;  // of what the event loop is still to call
 };
--- a/src/app/pools.cpp
+++ b/src/app/pools.cpp
@@ -101,7 +101,7 @@
 void FixedPool::ended(AttemptOutcome end) {
   const auto server = serverOf_.find(end.endpoint);
   if (server != serverOf_.end() &&
-      plan_.onResult(now(), server->second, pools::failed(end.outcome, end.failureReason)))
+      plan_.onResult(now(), server->second, pools::isServerFailure(end.outcome, end.failureReason)))
     tellSoon();
   engine_.attemptEnded(std::move(end));
 }
@@ -140,12 +140,12 @@
 }
 
 void FixedPool::planAt() {
-  const auto at = plan_.next();
+  const auto at = plan_.nextReturnAt();
   if (!at) return;
   planTimer_.expires_at(clock_.at(*at));
   planTimer_.async_wait(lifetime_.guard([this](error_code ec) {
     if (ec) return;
-    if (plan_.onTime(now())) tell(EndpointListKind::update);
+    if (plan_.onTick(now())) tell(EndpointListKind::update);
     else planAt();
   }));
 }
@@ -180,24 +180,25 @@
 
 int Pools::admit(const route::Decision& decision, std::uint64_t bytes, Hold& hold) {
   const std::size_t pool = indexOf_.find(decision.pool)->second;
-  if (!calls_.take(pool, 1)) return kRefused;
-  if (!bytes_.take(pool, bytes)) {
-    calls_.give(pool, 1);
+  if (!calls_.acquire(pool, 1)) return kRefused;
+  if (!bytes_.acquire(pool, bytes)) {
+    calls_.release(pool, 1);
     return kRefused;
   }
-  if (const int status = limiter_.admit(Clock::now().time_since_epoch(), decision)) {
-    calls_.give(pool, 1);
-    bytes_.give(pool, bytes);
-    return status;
+  if (const std::optional<int> status =
+          limiter_.admit(policy::Timestamp(Clock::now().time_since_epoch()), decision)) {
+    calls_.release(pool, 1);
+    bytes_.release(pool, bytes);
+    return *status;
   }
   hold = {pool, bytes, decision.connections};
   return 0;
 }
 
 void Pools::over(const Hold& hold) {
-  calls_.give(hold.pool, 1);
-  bytes_.give(hold.pool, hold.bytes);
-  limiter_.over(hold.connections);
+  calls_.release(hold.pool, 1);
+  bytes_.release(hold.pool, hold.bytes);
+  limiter_.onRequestEnded(hold.connections);
 }
 
 bool Pools::mayConfigure(const Settings& settings) const {
--- a/src/app/pools.hpp
+++ b/src/app/pools.hpp
@@ -17,7 +17,7 @@
 #include "core/engine.hpp"
 #include "http/routing.hpp"
 #include "http/upstream.hpp"
-#include "limits/limiter.hpp"
+#include "limits/request_limiter.hpp"
 #include "pools/passive_health_filter.hpp"
 #include "pools/shared_quota.hpp"
 #include "route/router.hpp"
@@ -53,8 +53,8 @@
   void pollEndpoints() override {}
   void requestResync() override {}
   void log(const std::string& line) override { log_(name_ + ": " + line); }
-  bool acquire() override { return descriptors_.take(index_, 1); }
-  void release() override { descriptors_.give(index_, 1); }
+  bool acquire() override { return descriptors_.acquire(index_, 1); }
+  void release() override { descriptors_.release(index_, 1); }
 
   void ended(AttemptOutcome end);
   void tell(policy::EndpointListKind kind);
@@ -105,7 +105,7 @@
   std::vector<Engine*> engines_;  // by pool
   std::map<std::string, std::size_t, std::less<>> indexOf_;
   pools::SharedQuota descriptors_, calls_, bytes_;
-  limits::Limiter limiter_;
+  limits::RequestLimiter limiter_;
   std::vector<std::unique_ptr<FixedPool>> fixed_;
 };
 
--- a/src/pools/passive_health_filter.cpp
+++ b/src/pools/passive_health_filter.cpp
@@ -1,7 +1,7 @@
-// Which servers of a pool of fixed addresses are offered to its decision module.
 #include "pools/passive_health_filter.hpp"
 
 #include <algorithm>
+#include <utility>
 
 namespace cairnjunction::pools {
 
@@ -9,75 +9,91 @@
 using policy::Outcome;
 using policy::Timestamp;
 
-bool failed(Outcome outcome, FailureReason fault) {
+namespace {
+
+bool anyOf(const std::vector<bool>& chosen) {
+  return std::find(chosen.begin(), chosen.end(), true) != chosen.end();
+}
+
+}  // namespace
+
+bool isServerFailure(Outcome outcome, FailureReason reason) {
   switch (outcome) {
     case Outcome::timeout:
     case Outcome::reset: return true;
     case Outcome::connectFailed:
-      return fault == FailureReason::connectionRefused || fault == FailureReason::connectTimeout;
-    case Outcome::error: return fault == FailureReason::malformedResponse;
+      return reason == FailureReason::connectionRefused || reason == FailureReason::connectTimeout;
+    case Outcome::error: return reason == FailureReason::malformedResponse;
     default: return false;
   }
 }
 
 PassiveHealthFilter::PassiveHealthFilter(std::vector<route::PoolServer> servers)
-    : servers_(std::move(servers)), states_(servers_.size()) {
-  settle();
+    : servers_(std::move(servers)), serverStates_(servers_.size()) {
+  updateOffered();
 }
 
 bool PassiveHealthFilter::onResult(Timestamp now, std::size_t server, bool failure) {
-  const route::PoolServer& set = servers_[server];
-  State& state = states_[server];
+  const route::PoolServer& settings = servers_[server];
+  ServerState& state = serverStates_[server];
   if (!failure) {
-    if (state.outUntil == Timestamp{}) state.fails = 0;
+    if (state.unavailableUntil == Timestamp{}) state.failures = 0;
     return false;
   }
-  // As documented: of a single server failures are not counted.
-  if (set.failsMost == 0 || servers_.size() == 1 || state.outUntil > Timestamp{}) return false;
-  if (state.fails == 0 || now - state.since > set.failTimeout) {
-    state.fails = 0;
-    state.since = now;
+  // As documented for nginx, failures of a single server are not counted.
+  if (settings.failsMost == 0 || servers_.size() == 1 || state.unavailableUntil > Timestamp{}) return false;
+  if (state.failures == 0 || now - state.firstFailureAt > settings.failTimeout) {
+    state.failures = 0;
+    state.firstFailureAt = now;
   }
-  if (++state.fails < set.failsMost) return false;
-  state.fails = 0;
-  state.outUntil = now + set.failTimeout;
-  return settle();
+  if (++state.failures < settings.failsMost) return false;
+  state.failures = 0;
+  state.unavailableUntil = now + settings.failTimeout;
+  return updateOffered();
 }
 
-bool PassiveHealthFilter::onTime(Timestamp now) {
+bool PassiveHealthFilter::onTick(Timestamp now) {
   bool back = false;
-  for (State& state : states_)
-    if (state.outUntil > Timestamp{} && now >= state.outUntil) {
-      state = State{};
+  for (ServerState& state : serverStates_)
+    if (state.unavailableUntil > Timestamp{} && now >= state.unavailableUntil) {
+      state = ServerState{};
       back = true;
     }
-  return back && settle();
+  return back && updateOffered();
 }
 
-std::optional<Timestamp> PassiveHealthFilter::next() const {
+std::optional<Timestamp> PassiveHealthFilter::nextReturnAt() const {
   std::optional<Timestamp> at;
-  for (const State& state : states_)
-    if (state.outUntil > Timestamp{} && (!at || state.outUntil < *at)) at = state.outUntil;
+  for (const ServerState& state : serverStates_)
+    if (state.unavailableUntil > Timestamp{} && (!at || state.unavailableUntil < *at))
+      at = state.unavailableUntil;
   return at;
 }
 
-bool PassiveHealthFilter::settle() {
-  const auto with = [&](auto holds) {
-    std::vector<bool> out(servers_.size());
-    for (std::size_t i = 0; i < servers_.size(); ++i) out[i] = !servers_[i].down && holds(i);
-    return out;
+bool PassiveHealthFilter::updateOffered() {
+  const auto available = [&](std::size_t server) {
+    return serverStates_[server].unavailableUntil == Timestamp{};
   };
-  const auto any = [](const std::vector<bool>& in) {
-    return std::find(in.begin(), in.end(), true) != in.end();
+  const auto isAvailablePrimary = [&](std::size_t server) {
+    return !servers_[server].backup && available(server);
   };
-  std::vector<bool> next =
-      with([&](std::size_t i) { return !servers_[i].backup && states_[i].outUntil == Timestamp{}; });
-  if (!any(next))
-    next = with([&](std::size_t i) { return servers_[i].backup && states_[i].outUntil == Timestamp{}; });
-  if (!any(next)) next = with([](std::size_t) { return true; });
+  const auto isAvailableBackup = [&](std::size_t server) {
+    return servers_[server].backup && available(server);
+  };
+  const auto any = [](std::size_t) { return true; };
+  std::vector<bool> next = serversThat(isAvailablePrimary);
+  if (!anyOf(next)) next = serversThat(isAvailableBackup);
+  if (!anyOf(next)) next = serversThat(any);
   if (next == offered_) return false;
   offered_ = std::move(next);
   return true;
 }
 
+std::vector<bool> PassiveHealthFilter::serversThat(const std::function<bool(std::size_t)>& holds) const {
+  std::vector<bool> chosen(servers_.size());
+  for (std::size_t server = 0; server < servers_.size(); ++server)
+    chosen[server] = !servers_[server].down && holds(server);
+  return chosen;
+}
+
 }  // namespace cairnjunction::pools
--- a/src/pools/passive_health_filter.hpp
+++ b/src/pools/passive_health_filter.hpp
@@ -1,10 +1,12 @@
-// Which servers of a pool of fixed addresses are offered to its decision module, by what the routes say of
-// them: down, backup, and taken out for a time after failures (nginx's documents, ngx_http_upstream_module,
-// `server`). The module decides among those that are offered. No I/O, reads no clock.
+// Which servers of a pool of fixed addresses are offered to its load balancer: not those marked down, backups
+// only while no primary is available, and none for a time after repeated failures (as nginx documents
+// `server` in ngx_http_upstream_module). The load balancer picks among those that are offered. No I/O, reads
+// no clock.
 #pragma once
 
 #include <cstddef>
 #include <cstdint>
+#include <functional>
 #include <optional>
 #include <vector>
 
@@ -13,31 +15,34 @@
 
 namespace cairnjunction::pools {
 
-// Whether an attempt's end counts as a failure of its server: nobody answered, or the answer was none.
-bool failed(policy::Outcome outcome, policy::FailureReason fault);
+// Whether an attempt's outcome counts as a failure of its server: no response, or none that could be read.
+bool isServerFailure(policy::Outcome outcome, policy::FailureReason reason);
 
 class PassiveHealthFilter {
  public:
   explicit PassiveHealthFilter(std::vector<route::PoolServer> servers);
 
-  // Both return whether offered() has changed. Times never go back.
+  // Both return whether offered() has changed. `now` never goes back.
   bool onResult(policy::Timestamp now, std::size_t server, bool failure);
-  bool onTime(policy::Timestamp now);
+  bool onTick(policy::Timestamp now);
 
-  // By server. Where every one that could serve is out for failures, all of them are offered: any beats none.
-  // Backups are offered only while no other one is in.
+  // By server. While every server that is not down is unavailable for its failures, all of them are offered:
+  // an attempt that may fail beats none.
   const std::vector<bool>& offered() const { return offered_; }
-  std::optional<policy::Timestamp> next() const;  // when onTime is due; nothing: it is not
+  std::optional<policy::Timestamp> nextReturnAt() const;  // when onTick is due; nothing: it is not
 
  private:
-  struct State {
-    std::uint32_t fails = 0;
-    policy::Timestamp since{}, outUntil{};  // first of these failures; zero: it is in
+  struct ServerState {
+    std::uint32_t failures = 0;  // within the server's failTimeout of firstFailureAt
+    policy::Timestamp firstFailureAt{};
+    policy::Timestamp unavailableUntil{};  // zero: it is available
   };
-  bool settle();
+  bool updateOffered();  // whether it has changed
+  // Of the servers that are not marked down, by server.
+  std::vector<bool> serversThat(const std::function<bool(std::size_t)>& holds) const;
 
   std::vector<route::PoolServer> servers_;
-  std::vector<State> states_;
+  std::vector<ServerState> serverStates_;
   std::vector<bool> offered_;
 };
 
--- a/src/pools/shared_quota.hpp
+++ b/src/pools/shared_quota.hpp
@@ -1,5 +1,5 @@
-// A bound that several pools share, such that none of them can take it all: each is sure of a part, and what
-// is beyond these parts goes to whoever comes first. No I/O.
+// A quota that several pools share so that none of them can exhaust it: each is guaranteed a part, and the
+// rest is borrowed by whoever comes first. No I/O.
 #pragma once
 
 #include <algorithm>
@@ -11,32 +11,36 @@
 
 class SharedQuota {
  public:
-  // Of `total` each of `pools` is sure of an equal part of one half. With one pool it is all its own.
+  // Half of `total` is divided evenly among `pools` as their guaranteed parts. A single pool has all of it.
   SharedQuota(std::uint64_t total, std::size_t pools)
-      : sure_(pools > 1 ? total / (2 * pools) : total), common_(total - sure_ * pools), held_(pools, 0) {}
+      : guaranteed_(pools > 1 ? total / (2 * pools) : total),
+        shared_(total - guaranteed_ * pools),
+        held_(pools, 0) {}
 
-  // False, and nothing is taken, if there is not so much left for this pool.
-  bool take(std::size_t pool, std::uint64_t amount) {
-    const std::uint64_t before = beyond(held_[pool]), after = beyond(held_[pool] + amount);
-    if (taken_ + (after - before) > common_) return false;
-    taken_ += after - before;
+  // False, and nothing is acquired, if less than `amount` is left for this pool.
+  bool acquire(std::size_t pool, std::uint64_t amount) {
+    const std::uint64_t before = borrowedPart(held_[pool]), after = borrowedPart(held_[pool] + amount);
+    if (borrowed_ + (after - before) > shared_) return false;
+    borrowed_ += after - before;
     held_[pool] += amount;
     return true;
   }
-  // Of what was taken.
-  void give(std::size_t pool, std::uint64_t amount) {
+  // Returns a part of what acquire() gave.
+  void release(std::size_t pool, std::uint64_t amount) {
     const std::uint64_t left = held_[pool] - std::min(amount, held_[pool]);
-    taken_ -= beyond(held_[pool]) - beyond(left);
+    borrowed_ -= borrowedPart(held_[pool]) - borrowedPart(left);
     held_[pool] = left;
   }
   std::uint64_t held(std::size_t pool) const { return held_[pool]; }
-  std::uint64_t sure() const { return sure_; }
+  std::uint64_t guaranteed() const { return guaranteed_; }
 
  private:
-  std::uint64_t beyond(std::uint64_t held) const { return held > sure_ ? held - sure_ : 0; }
+  std::uint64_t borrowedPart(std::uint64_t held) const { return held > guaranteed_ ? held - guaranteed_ : 0; }
 
-  std::uint64_t sure_, common_, taken_ = 0;
-  std::vector<std::uint64_t> held_;
+  std::uint64_t guaranteed_;         // for each pool
+  std::uint64_t shared_;             // beyond the guaranteed parts of all
+  std::uint64_t borrowed_ = 0;       // of shared_, by all pools; never more than it
+  std::vector<std::uint64_t> held_;  // by pool
 };
 
 }  // namespace cairnjunction::pools
--- a/src/toml/reader.cpp
+++ b/src/toml/reader.cpp
@@ -31,7 +31,7 @@
   std::ostringstream text;
   text << name_;
   const ::toml::source_region& at = node ? node->source() : table_.source();
-  if (at.begin.line) text << ":" << at.begin.line;
+  if (at.begin.line > 0) text << ":" << at.begin.line;
   text << ": " << what_ << problem;
   throw BadFile(text.str());
 }
@@ -47,7 +47,7 @@
   if (!node) fail(nullptr, quoted(key) + " is missing");
   const auto value = node->value_exact<std::string>();
   if (!value) fail(node, quoted(key) + " is not a text");
-  if (value->size() > kTextMost) fail(node, quoted(key) + " is too long");
+  if (value->size() > kMaxTextBytes) fail(node, quoted(key) + " is too long");
   return *value;
 }
 
@@ -85,7 +85,7 @@
 
 void Reader::finish() const {
   for (const auto& [key, node] : table_)
-    if (!known_.count(std::string(key.str()))) fail(&node, "unknown key " + quoted(key.str()));
+    if (!known_.contains(std::string(key.str()))) fail(&node, "unknown key " + quoted(key.str()));
 }
 
 }  // namespace cairnjunction::toml
--- a/src/toml/reader.hpp
+++ b/src/toml/reader.hpp
@@ -1,5 +1,5 @@
-// Reads files that people write in TOML: typed and bounded values, and errors that name file, line, what was
-// found and what was expected. A key that nobody asked for is one of them.
+// Reads TOML files written by people: typed and bounded values, and errors that name the file, the line, what
+// was found and what was expected. A key that nobody reads is an error.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,9 @@
 
 namespace cairnjunction::toml {
 
-inline constexpr std::size_t kTextMost = 1024;  // bytes of a text: paths and addresses are the longest
+inline constexpr std::size_t kMaxTextBytes = 1024;  // paths and addresses are the longest texts
 
+// What is wrong, with file and line.
 struct BadFile : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -23,10 +24,12 @@
 ::toml::table parse(const std::string& text,
                     const std::string& name);  // `name` stands in errors; throws BadFile
 
-// One table. What it asks for and is not there has the value given for that case.
+// Reads one table, key by key. A key that is missing has the default given for it, or is an error where there
+// is none.
 class Reader {
  public:
-  // `what` is said before a problem, as "[[keeper]]: ". The table must outlive it.
+  // Errors begin with the file's `name`, the line and `what`, such as "[[keeper]]: ". The table must outlive
+  // the reader.
   Reader(const ::toml::table& table, std::string what, std::string name)
       : table_(table), what_(std::move(what)), name_(std::move(name)) {}
 
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -1,4 +1,4 @@
-// The operators' door and the figures behind it, over sockets.
+// The operators' server and the figures behind it, over sockets.
 #include "admin/admin_server.hpp"
 
 #include <algorithm>
@@ -14,12 +14,12 @@
 namespace cairnjunction::testing {
 namespace {
 
-// What a caller gets for what it sends, until the door ends the connection.
+// What a client gets for what it sends, until the server ends the connection.
 class Call : public std::enable_shared_from_this<Call> {
  public:
-  static std::shared_ptr<Call> to(asio::io_context& io, const tcp::endpoint& door) {
+  static std::shared_ptr<Call> to(asio::io_context& io, const tcp::endpoint& server) {
     auto call = std::shared_ptr<Call>(new Call(io));
-    call->socket_.connect(door);
+    call->socket_.connect(server);
     call->read();
     return call;
   }
@@ -41,48 +41,48 @@
   std::array<char, 512> chunk_;
 };
 
-class DoorTest : public LoopTest {
+class AdminServerTest : public LoopTest {
  protected:
-  admin::Door door{io, loopback(),
-                   [](std::string_view line) { return "SUCCESS " + std::string(line) + "\n"; }};
+  admin::AdminServer server{io, loopback(),
+                          [](std::string_view line) { return "SUCCESS " + std::string(line) + "\n"; }};
   std::string ask(const std::string& text) {
-    const auto call = Call::to(io, door.listening());
+    const auto call = Call::to(io, server.listening());
     call->say(text);
     EXPECT_TRUE(until([&] { return call->over; }));
     return call->got;
   }
 };
 
-TEST_F(DoorTest, AnswersOneLineAndEndsTheConnection) {
+TEST_F(AdminServerTest, AnswersOneLineAndEndsTheConnection) {
   EXPECT_EQ(ask("check\n"), "SUCCESS check\n");
   EXPECT_EQ(ask("check\r\n"), "SUCCESS check\n");
   EXPECT_EQ(ask("check\nmore\n"), "SUCCESS check\n") << "one line for each connection";
-  EXPECT_TRUE(until([&] { return door.callers() == 0; }));
+  EXPECT_TRUE(until([&] { return server.connectionCount() == 0; }));
 }
 
-TEST_F(DoorTest, ALineInPiecesIsOne) {
-  const auto call = Call::to(io, door.listening());
+TEST_F(AdminServerTest, ALineInPiecesIsOne) {
+  const auto call = Call::to(io, server.listening());
   call->say("che");
-  ASSERT_TRUE(until([&] { return door.callers() == 1; }));
+  ASSERT_TRUE(until([&] { return server.connectionCount() == 1; }));
   call->say("ck");
   call->say("\n");
   ASSERT_TRUE(until([&] { return call->over; }));
   EXPECT_EQ(call->got, "SUCCESS check\n");
 }
 
-TEST_F(DoorTest, ALineWithoutEndIsTurnedDownAtItsBound) {
-  EXPECT_EQ(ask(std::string(admin::Door::kLineMost + 1, 'x')).rfind("FAILURE", 0), 0u);
-  EXPECT_EQ(ask(std::string(admin::Door::kLineMost + 1, 'x') + "\n").rfind("FAILURE", 0), 0u);
+TEST_F(AdminServerTest, ALineWithoutEndIsRejectedAtItsBound) {
+  EXPECT_EQ(ask(std::string(admin::AdminServer::kMaxLineBytes + 1, 'x')).rfind("FAILURE", 0), 0u);
+  EXPECT_EQ(ask(std::string(admin::AdminServer::kMaxLineBytes + 1, 'x') + "\n").rfind("FAILURE", 0), 0u);
 }
 
-TEST_F(DoorTest, CallersThatHoldOnKeepNobodyOut) {
+TEST_F(AdminServerTest, IdleClientsKeepNobodyOut) {
   std::vector<std::shared_ptr<Call>> silent;
-  for (std::size_t i = 0; i < 3 * admin::Door::kCallersMost; ++i) {
-    silent.push_back(Call::to(io, door.listening()));
+  for (std::size_t i = 0; i < 3 * admin::AdminServer::kMaxConnections; ++i) {
+    silent.push_back(Call::to(io, server.listening()));
     silent.back()->say("che");
   }
   EXPECT_EQ(ask("check\n"), "SUCCESS check\n");
-  EXPECT_LE(door.callers(), admin::Door::kCallersMost);
+  EXPECT_LE(server.connectionCount(), admin::AdminServer::kMaxConnections);
   EXPECT_TRUE(silent.front()->over) << "the one that came first made room";
 }
 
@@ -106,7 +106,7 @@
 
 // --- Of a gateway ---------------------------------------------------------------------------------------
 
-class GatewayDoorTest : public LoopTest {
+class GatewayAdminTest : public LoopTest {
  protected:
   FakeDiscovery discovery{io};
   json config = configJson();
@@ -126,7 +126,7 @@
     gateway = std::make_unique<Gateway>(io, parsed, longWatches(), [](const std::string&) {});
   }
   std::string ask(const std::string& line) {
-    const auto call = Call::to(io, gateway->door()->listening());
+    const auto call = Call::to(io, gateway->adminServer()->listening());
     call->say(line + "\n");
     EXPECT_TRUE(until([&] { return call->over; }));
     return call->got;
@@ -155,7 +155,7 @@
   }
 };
 
-TEST_F(GatewayDoorTest, CountsRepliesByClassAndWhatIsOpen) {
+TEST_F(GatewayAdminTest, CountsRepliesByClassAndActiveRequests) {
   bool hold = false;
   addHost([&](PeerConnection& c) {
     if (!hold) c.reply(answerText(c.request.target() == "/write" ? 500 : 200, "", "x"));
@@ -183,7 +183,7 @@
   ASSERT_TRUE(until([&] { return gateway->figures().concurrent == 0; })) << "its client has left";
 }
 
-TEST_F(GatewayDoorTest, CheckSaysYesOnceHostsAreKnownAndNoInAStop) {
+TEST_F(GatewayAdminTest, CheckSaysYesOnceHostsAreKnownAndNoInAStop) {
   start();
   discovery.failing = true;
   EXPECT_EQ(ask("check").rfind("FAILURE", 0), 0u);
@@ -197,7 +197,7 @@
   EXPECT_EQ(ask("check").rfind("FAILURE", 0), 0u);
 }
 
-TEST_F(GatewayDoorTest, AnInheritedListenerIsServedAndOutlivesTheOneThatStops) {
+TEST_F(GatewayAdminTest, AnInheritedListenerIsServedAndOutlivesTheOneThatStops) {
   // Held by the platform: connections that come while one process stops are taken by the next.
   tcp::acceptor platform(io, loopback());
   addHost([](PeerConnection& c) { c.reply(answerText(200, "", "x")); });
--- /dev/null
+++ b/tests/pools/shared_quota_test.cpp
@@ -0,0 +1,63 @@
+#include "pools/shared_quota.hpp"
+
+#include <gtest/gtest.h>
+
+#include <cstdint>
+#include <random>
+#include <vector>
+
+namespace cairnjunction::pools {
+namespace {
+
+TEST(SharedQuotaTest, NoPoolTakesAnothersPart) {
+  SharedQuota quota(100, 4);  // 12 each for sure, 52 for whoever comes first
+  std::uint64_t taken = 0;
+  while (quota.acquire(0, 1)) ++taken;
+  EXPECT_EQ(taken, 64u);
+  for (std::size_t pool = 1; pool < 4; ++pool) {
+    EXPECT_TRUE(quota.acquire(pool, quota.guaranteed()));
+    EXPECT_FALSE(quota.acquire(pool, 1));
+  }
+  quota.release(0, 1);
+  EXPECT_TRUE(quota.acquire(3, 1));
+  EXPECT_FALSE(quota.acquire(0, 1));
+}
+
+TEST(SharedQuotaTest, TheOnlyPoolHasAll) {
+  SharedQuota quota(10, 1);
+  EXPECT_TRUE(quota.acquire(0, 10));
+  EXPECT_FALSE(quota.acquire(0, 1));
+  quota.release(0, 10);
+  EXPECT_EQ(quota.held(0), 0u);
+}
+
+TEST(SharedQuotaTest, WhateverComesTheTotalHoldsAndNothingLeaks) {
+  std::mt19937 random(11);
+  SharedQuota quota(1000, 7);
+  std::vector<std::vector<std::uint64_t>> held(7);
+  for (int i = 0; i < 50000; ++i) {
+    const std::size_t pool = random() % 7;
+    if (random() % 2 && !held[pool].empty()) {
+      quota.release(pool, held[pool].back());
+      held[pool].pop_back();
+    } else {
+      const std::uint64_t amount = random() % 60;
+      std::uint64_t before = 0, mine = 0;
+      for (std::size_t p = 0; p < 7; ++p) before += quota.held(p);
+      mine = quota.held(pool);
+      if (quota.acquire(pool, amount)) held[pool].push_back(amount);
+      else {
+        ASSERT_GT(mine + amount, quota.guaranteed()) << "its own part was refused";
+      }
+      ASSERT_LE(before, 1000u);
+    }
+  }
+  for (std::size_t pool = 0; pool < 7; ++pool) {
+    for (const std::uint64_t amount : held[pool]) quota.release(pool, amount);
+    EXPECT_EQ(quota.held(pool), 0u);
+  }
+  EXPECT_TRUE(quota.acquire(0, quota.guaranteed() + (1000 - 7 * quota.guaranteed())));
+}
+
+}  // namespace
+}  // namespace cairnjunction::pools
