--- a/include/cairnjunction/load_balancer.hpp
+++ b/include/cairnjunction/load_balancer.hpp
@@ -217,7 +217,7 @@
       EndpointId host) const;  // ejected, silent or out of reach: nothing but a trial is sent there
 
  private:
-  struct Impl;
+  class Impl;
   std::unique_ptr<Impl> impl_;
 };
 
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -1,16 +1,35 @@
-// The public face of the decision module: each event goes on to the part that it concerns. Nothing is decided
-// here.
+// The public face of the decisions. Each event sets the clock, goes through the objects concerned in the
+// order below, and ends alike. The order matters: it is that of the random draws and of the actions.
+//
+// on request:   RequestTable, ClassTable (cost, time spent on earlier tries) -> TrafficRates, RetryBudget ->
+//               TenantQuota, PriorityScorer -> AdmissionController -> rejected, queued by KeySerializer, or
+//               sent
+// to send:      RetryPolicy (deadline, attempts left) -> EndpointPicker (asks RetryPolicy, SlowStart,
+// ConnectBackoff,
+//               ConnectionAgeTracker, OutlierDetector) -> SlowStart, ConnectionAgeTracker,
+//               ResponsivenessMonitor note the send; HedgingPolicy sets a timer beside a first attempt
+// on result:    by outcome ResponsivenessMonitor, LatencyTracker, TrafficRates, AdmissionController,
+// ConnectBackoff ->
+//               OutlierDetector -> ConnectionAgeTracker -> KeySerializer (cooldown) -> the request ends, is
+//               sent again (RetryPolicy, RetryBudget), or is rejected or failed (RetryPolicy)
+// on wake:      the timers that are due; then, once every kUpdateInterval, the statistics:
+// ConnectionAgeTracker,
+//               LatencyTracker, ResponsivenessMonitor, LoadReports, OutlierDetector, SlowStart,
+//               PriorityScorer, KeySerializer, TrafficRates, ClassTable, AdmissionController
+// on endpoints: EndpointListPoller -> EndpointTable, LoadReports; what was learned of an endpoint's old
+// process is reset each event ends with: KeySerializer (heads of queues that became free are sent) ->
+// EndpointListPoller -> TimerQueue
+//               (the next wake-up)
 #include "cairnjunction/load_balancer.hpp"
 
-#include "policy/module.hpp"
+#include <stdexcept>
+#include <utility>
+
+#include "policy/load_balancer_impl.hpp"
 #include "policy/settings_validation.hpp"
 
 namespace cairnjunction::policy {
 
-struct LoadBalancer::Impl : Module {
-  using Module::Module;
-};
-
 LoadBalancer::LoadBalancer(Settings settings, Timestamp now) {
   validate(settings);
   impl_ = std::make_unique<Impl>(std::move(settings), now);
@@ -21,53 +40,53 @@
 
 void LoadBalancer::configure(Timestamp now, Settings settings) {
   validate(settings);
-  impl_->event(now, [&] { impl_->configure(std::move(settings)); });
+  impl_->configure(now, std::move(settings));
 }
-
 void LoadBalancer::onEndpoints(Timestamp now, EndpointListKind kind,
                                const std::vector<EndpointInfo>& entries) {
-  impl_->event(now, [&] { impl_->onHosts(kind, entries); });
-}
-void LoadBalancer::onRequest(Timestamp now, const Request& request) {
-  impl_->event(now, [&] { impl_->onRequest(request); });
+  impl_->onEndpoints(now, kind, entries);
 }
+void LoadBalancer::onRequest(Timestamp now, const Request& request) { impl_->onRequest(now, request); }
 void LoadBalancer::onResponseStarted(Timestamp now, RequestId request, std::uint32_t attempt) {
-  impl_->event(now, [&] { impl_->onAnswerStarted(request, attempt); });
-}
-void LoadBalancer::onResult(Timestamp now, const AttemptResult& result) {
-  impl_->event(now, [&] { impl_->onResult(result); });
+  impl_->onResponseStarted(now, request, attempt);
 }
+void LoadBalancer::onResult(Timestamp now, const AttemptResult& result) { impl_->onResult(now, result); }
 void LoadBalancer::onClientDisconnected(Timestamp now, RequestId request) {
-  impl_->event(now, [&] { impl_->onClientGone(request); });
-}
-void LoadBalancer::onWake(Timestamp now) {
-  impl_->event(now, [&] { impl_->onWake(); });
+  impl_->onClientDisconnected(now, request);
 }
-void LoadBalancer::onReachability(Timestamp now, EndpointId host, Reachability reach,
+void LoadBalancer::onWake(Timestamp now) { impl_->onWake(now); }
+void LoadBalancer::onReachability(Timestamp now, EndpointId endpoint, Reachability reachability,
                                   Timestamp startedAfter) {
-  impl_->event(now, [&] { impl_->onReach(host, reach, startedAfter); });
+  impl_->onReachability(now, endpoint, reachability, startedAfter);
 }
-void LoadBalancer::onConnections(EndpointId host, std::uint32_t open) { impl_->onConnections(host, open); }
-std::uint32_t LoadBalancer::attemptsInFlight(EndpointId host) const {
-  return host < impl_->hosts.size() ? static_cast<std::uint32_t>(impl_->hosts[host].inflight) : 0;
+void LoadBalancer::onConnections(EndpointId endpoint, std::uint32_t open) {
+  impl_->onConnections(endpoint, open);
 }
-std::uint32_t LoadBalancer::openConnections(EndpointId host) const {
-  return host < impl_->hosts.size() ? static_cast<std::uint32_t>(impl_->hosts[host].lines) : 0;
+
+std::vector<Action>& LoadBalancer::actions() { return impl_->actions(); }
+
+EndpointId LoadBalancer::findEndpoint(std::string_view address) const {
+  return impl_->endpoints().idOf(address);
 }
-bool LoadBalancer::isAvoided(EndpointId host) const {
-  if (host >= impl_->hosts.size()) return true;
-  const Host& h = impl_->hosts[host];
-  return h.health == Health::ejected || h.silent || h.reach != Reachability::reachable;
+const std::string& LoadBalancer::address(EndpointId endpoint) const {
+  if (endpoint >= impl_->endpoints().size()) throw std::out_of_range("no endpoint has this id");
+  return impl_->endpoints()[endpoint].info.address;
 }
-std::vector<Action>& LoadBalancer::actions() { return impl_->out; }
-EndpointId LoadBalancer::findEndpoint(std::string_view address) const {
-  const auto it = impl_->hostIds.find(std::string(address));
-  return it == impl_->hostIds.end() ? kNone : it->second;
+double LoadBalancer::cutoff() const { return impl_->cutoff(); }
+std::size_t LoadBalancer::activeRequests() const { return impl_->activeRequests(); }
+std::uint32_t LoadBalancer::attemptsInFlight(EndpointId endpoint) const {
+  if (endpoint >= impl_->endpoints().size()) return 0;
+  return static_cast<std::uint32_t>(impl_->endpoints()[endpoint].inFlight);
+}
+std::uint32_t LoadBalancer::openConnections(EndpointId endpoint) const {
+  if (endpoint >= impl_->endpoints().size()) return 0;
+  return static_cast<std::uint32_t>(impl_->endpoints()[endpoint].connections.open);
 }
-const std::string& LoadBalancer::address(EndpointId host) const {
-  return impl_->hosts.at(host).entry.address;
+bool LoadBalancer::isAvoided(EndpointId endpoint) const {
+  if (endpoint >= impl_->endpoints().size()) return true;
+  const Endpoint& record = impl_->endpoints()[endpoint];
+  return record.outlier.state == EjectionState::ejected || record.responsiveness.unresponsive ||
+         record.reachability != Reachability::reachable;
 }
-double LoadBalancer::cutoff() const { return impl_->cut; }
-std::size_t LoadBalancer::activeRequests() const { return impl_->slotOf.size(); }
 
 }  // namespace cairnjunction::policy
--- /dev/null
+++ b/src/policy/slow_start.hpp
@@ -0,0 +1,40 @@
+// Slow start: how much an endpoint that has just started may be sent, by all gateways together.
+#pragma once
+
+#include "policy/endpoint_table.hpp"
+#include "policy/random.hpp"
+#include "policy/traffic_rates.hpp"
+
+namespace cairnjunction::policy {
+
+// An endpoint starts with part of its capacity and breaks down when all gateways together send it a multiple
+// of that. Each gateway keeps to its own part by a token bucket: the started share of what it has endpoints
+// of the same machine kind carry, in every window, with rejected attempts counted. This may be a small part
+// of a request; a floor of one, times hundreds of gateways, would be a flood.
+class SlowStart {
+ public:
+  // Both must outlive this object.
+  SlowStart(const Settings& settings, const TrafficRates& rates) : settings_(settings), rates_(rates) {}
+
+  bool isActive(const Endpoint& endpoint, Timestamp now) const;
+  // Share of its capacity that the endpoint has: rises from slowStartInitialFraction to 1.
+  double capacityFraction(const Endpoint& endpoint, Timestamp now) const;
+
+  // Refills the endpoint's bucket and returns whether it may be sent an attempt.
+  bool mayAdmit(Endpoint& endpoint, const EndpointTable& endpoints, Timestamp now) const;
+  // Notes that an attempt is sent.
+  void recordSend(Endpoint& endpoint, Timestamp now) const;
+  // The endpoint has a new process. Its bucket starts at a drawn level: otherwise a first request from every
+  // one of many gateways would come at once.
+  static void reset(Endpoint& endpoint, Timestamp now, Random& random);
+
+  // Updates the rates that endpoints of each machine kind are proven to carry; to be called once every
+  // kUpdateInterval. Begins a new count of every endpoint's answers.
+  void update(EndpointTable& endpoints, Timestamp now) const;
+
+ private:
+  const Settings& settings_;
+  const TrafficRates& rates_;
+};
+
+}  // namespace cairnjunction::policy
