--- a/src/policy/action_queue.hpp
+++ b/src/policy/action_queue.hpp
@@ -28,6 +28,8 @@
   std::vector<Action>& pending() { return pending_; }
 
  private:
+  Action& append(ActionKind kind, RequestId request, EndpointId endpoint);
+
   std::vector<Action> pending_;
   Timestamp loggedAt_{};  // zero: never
 };
