--- a/src/common/numeric.hpp
+++ b/src/common/numeric.hpp
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "cairnjunction/load_balancer.hpp"
+#include "cairnjunction/time.hpp"
 
 namespace cairnjunction::policy {
 
