--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -1,11 +1,145 @@
 #include "discovery/endpoint_list.hpp"
 
+#include <array>
 #include <boost/asio/ip/address.hpp>
 #include <charconv>
+#include <cstddef>
 #include <nlohmann/json.hpp>
-#include <stdexcept>
+#include <optional>
+#include <utility>
+
+#include "discovery/wire_names.hpp"
 
 namespace cairnjunction {
+namespace {
+
+namespace wire = discovery_wire;
+using nlohmann::json;
+
+struct StateWord {
+  DiscoveredState state;
+  const char* word;
+};
+constexpr std::array<StateWord, 3> kStateWords{{{DiscoveredState::serving, wire::kServing},
+                                                {DiscoveredState::draining, wire::kDraining},
+                                                {DiscoveredState::gone, wire::kDeleted}}};
+
+std::optional<DiscoveredState> stateOf(const std::string& word) {
+  for (const StateWord& entry : kStateWords)
+    if (word == entry.word) return entry.state;
+  return std::nullopt;
+}
+
+const char* wordOf(DiscoveredState state) {
+  for (const StateWord& entry : kStateWords)
+    if (state == entry.state) return entry.word;
+  return wire::kDeleted;
+}
+
+// A value as an error shows it. Arrays and objects may be of any size, so only their type is shown.
+std::string describe(const json& value) {
+  if (value.is_structured()) return value.type_name();
+  return value.dump(-1, ' ', false, json::error_handler_t::replace);
+}
+
+std::string describe(const json& object, const char* field) {
+  if (!object.is_object()) return describe(object);
+  const auto it = object.find(field);
+  return it == object.end() ? "nothing" : describe(*it);
+}
+
+// The JSON object at `path` of a document; reads its fields.
+class ObjectReader {
+ public:
+  ObjectReader(const json& object, std::string path) : object_(object), path_(std::move(path)) {}
+
+  template <class Value>
+  Value requiredField(const char* field, const char* expected) const {
+    try {
+      return object_.at(field).get<Value>();
+    } catch (const json::exception&) {
+      throw error(field, expected);
+    }
+  }
+
+  template <class Value>
+  Value optionalField(const char* field, const Value& absent, const char* expected) const {
+    try {
+      return object_.value(field, absent);
+    } catch (const json::exception&) {
+      throw error(field, expected);
+    }
+  }
+
+  EndpointListError error(const char* field, const char* expected) const {
+    return {path_.empty() ? field : path_ + "." + field, expected, describe(object_, field)};
+  }
+
+ private:
+  const json& object_;
+  std::string path_;  // empty: the document itself
+};
+
+DiscoveredEndpoint parseDiscoveredEndpoint(const json& object, const std::string& path) {
+  const ObjectReader reader(object, path);
+  DiscoveredEndpoint result;
+  result.uid = reader.requiredField<std::string>(wire::kUid, "a text");
+  if (result.uid.empty()) throw reader.error(wire::kUid, "a text that is not empty");
+  const auto state = stateOf(reader.requiredField<std::string>(wire::kState, "a text"));
+  if (!state) throw reader.error(wire::kState, "SERVING, DRAINING or DELETED");
+  result.state = *state;
+  // One that is gone needs no address.
+  if (result.state != DiscoveredState::gone || object.contains(wire::kAddress)) {
+    const auto address = reader.requiredField<std::string>(wire::kAddress, "a text");
+    try {
+      result.endpoint = parseEndpoint(address);
+    } catch (const std::invalid_argument&) {
+      throw reader.error(wire::kAddress, "address:port");
+    }
+  }
+  result.zone = reader.optionalField(wire::kZone, std::string(), "a text");
+  result.machineKind = reader.optionalField(wire::kMachineKind, std::string(), "a text");
+  result.cell = reader.optionalField(wire::kCell, std::int64_t{0}, "a number");
+  result.weight = reader.optionalField(wire::kWeight, 1.0, "a number");
+  result.bootMs = reader.optionalField(wire::kBootMs, std::int64_t{0}, "a number");
+  return result;
+}
+
+json toJson(const DiscoveredEndpoint& endpoint) {
+  return {{wire::kUid, endpoint.uid},       {wire::kAddress, textOf(endpoint.endpoint)},
+          {wire::kZone, endpoint.zone},     {wire::kMachineKind, endpoint.machineKind},
+          {wire::kCell, endpoint.cell},     {wire::kState, wordOf(endpoint.state)},
+          {wire::kWeight, endpoint.weight}, {wire::kBootMs, endpoint.bootMs}};
+}
+
+}  // namespace
+
+EndpointListError::EndpointListError(std::string field, std::string expected, std::string found)
+    : std::invalid_argument("host list: " + (field.empty() ? "" : field + ": ") + "expected " + expected +
+                            ", found " + found),
+      field_(std::move(field)),
+      expected_(std::move(expected)),
+      found_(std::move(found)) {}
+
+EndpointList parseEndpointList(const json& document) {
+  const ObjectReader reader(document, "");
+  EndpointList list;
+  list.version = reader.requiredField<std::int64_t>(wire::kVersion, "a number");
+  list.full = reader.optionalField(wire::kFull, false, "true or false");
+  if (!document.contains(wire::kEndpoints)) throw reader.error(wire::kEndpoints, "an array");
+  for (const auto& object : document.at(wire::kEndpoints)) {
+    const std::string path =
+        std::string(wire::kEndpoints) + "[" + std::to_string(list.endpoints.size()) + "]";
+    list.endpoints.push_back(parseDiscoveredEndpoint(object, path));
+  }
+  return list;
+}
+
+nlohmann::json toJson(const EndpointList& list) {
+  json endpoints = json::array();
+  for (const DiscoveredEndpoint& endpoint : list.endpoints) endpoints.push_back(toJson(endpoint));
+  return {{wire::kVersion, list.version}, {wire::kFull, list.full}, {wire::kEndpoints, std::move(endpoints)}};
+}
 
 boost::asio::ip::tcp::endpoint parseEndpoint(std::string_view text) {
   const std::size_t colon = text.rfind(':');
@@ -25,50 +159,4 @@
   return at.address().to_string() + ":" + std::to_string(at.port());
 }
 
-EndpointList parseEndpointList(const nlohmann::json& json) {
-  try {
-    EndpointList list;
-    list.version = json.at("rev").get<std::int64_t>();
-    list.full = json.value("all", false);
-    for (const auto& target : json.at("targets")) {
-      DiscoveredEndpoint host;
-      host.uid = target.at("uid").get<std::string>();
-      if (host.uid.empty()) throw std::invalid_argument("a host has no uid");
-      const auto state = target.at("state").get<std::string>();
-      if (state == "SERVING") host.state = DiscoveredState::serving;
-      else if (state == "DRAINING") host.state = DiscoveredState::draining;
-      else if (state == "DELETED") host.state = DiscoveredState::gone;
-      else throw std::invalid_argument("unknown state '" + state + "'");
-      // One that is gone needs no address.
-      if (host.state != DiscoveredState::gone || target.contains("endpoint"))
-        host.endpoint = parseEndpoint(target.at("endpoint").get<std::string>());
-      host.zone = target.value("az", std::string());
-      host.machineKind = target.value("model", std::string());
-      host.cell = target.value("pod_group", std::int64_t{0});
-      host.weight = target.value("capacity_hint", 1.0);
-      host.bootMs = target.value("boot_ms", std::int64_t{0});
-      list.endpoints.push_back(std::move(host));
-    }
-    return list;
-  } catch (const nlohmann::json::exception& bad) {
-    throw std::invalid_argument(std::string("host list: ") + bad.what());
-  }
-}
-
-nlohmann::json toJson(const EndpointList& list) {
-  nlohmann::json targets = nlohmann::json::array();
-  for (const DiscoveredEndpoint& host : list.endpoints)
-    targets.push_back({{"uid", host.uid},
-                       {"endpoint", textOf(host.endpoint)},
-                       {"az", host.zone},
-                       {"model", host.machineKind},
-                       {"pod_group", host.cell},
-                       {"state", host.state == DiscoveredState::serving    ? "SERVING"
-                                 : host.state == DiscoveredState::draining ? "DRAINING"
-                                                                           : "DELETED"},
-                       {"capacity_hint", host.weight},
-                       {"boot_ms", host.bootMs}});
-  return {{"rev", list.version}, {"all", list.full}, {"targets", std::move(targets)}};
-}
-
 }  // namespace cairnjunction
--- a/src/discovery/endpoint_list_call.cpp
+++ b/src/discovery/endpoint_list_call.cpp
@@ -1,10 +1,11 @@
 #include "discovery/endpoint_list_call.hpp"
 
 #include <algorithm>
+#include <boost/beast/http/error.hpp>
 #include <boost/beast/http/read.hpp>
 #include <boost/beast/http/write.hpp>
+#include <cstdint>
 #include <nlohmann/json.hpp>
-#include <stdexcept>
 #include <utility>
 
 namespace cairnjunction {
@@ -13,84 +14,92 @@
 namespace http = boost::beast::http;
 using tcp = boost::asio::ip::tcp;
 using boost::system::error_code;
-using Clock = std::chrono::steady_clock;
+using Clock = OneShotTimer::Clock;
 
-constexpr std::uint64_t kListMost = 4 << 20;  // bytes of one list: some ten thousand hosts
+constexpr std::uint64_t kMaxListBytes = 4 << 20;  // some ten thousand endpoints
 
-std::optional<EndpointList> listIn(const std::string& body) {
+EndpointListResult parseBody(const std::string& body) {
   const auto json = nlohmann::json::parse(body, nullptr, false);
-  if (json.is_discarded()) return std::nullopt;
+  if (json.is_discarded()) return EndpointListFailure::malformed;
   try {
     return parseEndpointList(json);
-  } catch (const std::invalid_argument&) {  // nonsense is no list
-    return std::nullopt;
+  } catch (const EndpointListError&) {
+    return EndpointListFailure::malformed;
   }
 }
 
+EndpointListFailure failureOf(error_code ec) {
+  // An answer that ends too soon is one of Beast's own errors, though the connection failed.
+  const bool endedEarly = ec == http::error::end_of_stream || ec == http::error::partial_message;
+  const bool readable =
+      endedEarly || ec.category() != http::make_error_code(http::error::end_of_stream).category();
+  return readable ? EndpointListFailure::connectionFailed : EndpointListFailure::malformed;
+}
+
 }  // namespace
 
 EndpointListCall::EndpointListCall(boost::asio::io_context& io, tcp::endpoint server)
-    : server_(std::move(server)), socket_(io), timer_(io) {}
+    : server_(std::move(server)), socket_(io), deadline_(io) {}
 
 void EndpointListCall::start(const std::string& target, std::chrono::milliseconds connect,
-                             std::chrono::milliseconds most, Ended ended) {
+                             std::chrono::milliseconds total, Ended ended) {
   ended_ = std::move(ended);
   request_ = {http::verb::get, target, 11};
   request_.set(http::field::host, textOf(server_));
   parser_.emplace();
-  parser_->body_limit(kListMost);
-  const auto end = Clock::now() + most;
+  parser_->body_limit(kMaxListBytes);
+  const auto now = Clock::now();
+  const auto end = now + total;
   if (socket_.is_open()) {
-    limit(end);
+    setDeadline(end);
     return write();
   }
   buffer_.clear();
-  limit(std::min(end, Clock::now() + connect));
+  setDeadline(std::min(end, now + connect));
   socket_.async_connect(server_, [self = shared_from_this(), end](error_code ec) {
     if (!self->ended_) return;
-    if (ec) return self->finish({});
+    if (ec) return self->finish(EndpointListFailure::connectionFailed);
     error_code ignored;
     self->socket_.set_option(tcp::no_delay(true), ignored);
-    self->limit(end);
+    self->setDeadline(end);
     self->write();
   });
 }
 
-void EndpointListCall::giveUp() {
+void EndpointListCall::cancel() {
   ended_ = nullptr;
-  ++turn_;
-  timer_.cancel();
+  deadline_.cancel();
   error_code ignored;
   socket_.close(ignored);
 }
 
-void EndpointListCall::limit(Clock::time_point at) {
-  timer_.expires_at(at);
-  timer_.async_wait([self = shared_from_this(), mine = ++turn_](error_code ec) {
-    if (!ec && self->ended_ && mine == self->turn_) self->finish({std::nullopt, true});
+void EndpointListCall::setDeadline(Clock::time_point deadline) {
+  deadline_.startAt(deadline, [self = shared_from_this()] {
+    if (self->ended_) self->finish(EndpointListFailure::timedOut);
   });
 }
 
 void EndpointListCall::write() {
   http::async_write(socket_, request_, [self = shared_from_this()](error_code ec, std::size_t) {
     if (!self->ended_) return;
-    if (ec) return self->finish({});
+    if (ec) return self->finish(EndpointListFailure::connectionFailed);
     http::async_read(self->socket_, self->buffer_, *self->parser_,
-                     [self](error_code readError, std::size_t) { self->answered(readError); });
+                     [self](error_code readError, std::size_t) { self->onResponse(readError); });
   });
 }
 
-void EndpointListCall::answered(error_code ec) {
+void EndpointListCall::onResponse(error_code ec) {
   if (!ended_) return;
-  const bool good = !ec && parser_->get().result() == http::status::ok;
-  finish({good ? listIn(parser_->get().body()) : std::nullopt});
+  if (ec) return finish(failureOf(ec));
+  if (parser_->get().result() != http::status::ok) return finish(EndpointListFailure::rejected);
+  finish(parseBody(parser_->get().body()));
 }
 
 void EndpointListCall::finish(const Result& result) {
-  ++turn_;
-  timer_.cancel();
+  deadline_.cancel();
   error_code ignored;
-  if (!result.list || !parser_->get().keep_alive()) socket_.close(ignored);
+  if (!std::holds_alternative<EndpointList>(result) || !parser_->get().keep_alive()) socket_.close(ignored);
+  // Moved out first: the callback may start the next call.
   const Ended ended = std::exchange(ended_, nullptr);
   ended(result);
 }
--- /dev/null
+++ b/src/discovery/timeouts.cpp
@@ -0,0 +1,27 @@
+#include "discovery/timeouts.hpp"
+
+#include <algorithm>
+
+namespace cairnjunction {
+namespace {
+
+using std::chrono::milliseconds;
+
+// An agent that runs answers within a few milliseconds. One that was silent knows all changes as soon as it
+// is back, and from then on the gateway counts as notified of them: so it is asked at least five times a
+// second.
+constexpr milliseconds kAgentResponseTimeout{150};
+constexpr milliseconds kAgentRetryBackoff{30};
+
+}  // namespace
+
+DiscoveryTimeouts DiscoveryTimeouts::forAgent() const {
+  DiscoveryTimeouts timeouts = *this;
+  timeouts.connect = std::min(connect, kAgentResponseTimeout);
+  timeouts.response = std::min(response, kAgentResponseTimeout);
+  timeouts.retryInitialBackoff = std::min(retryInitialBackoff, kAgentRetryBackoff);
+  timeouts.retryMaxBackoff = timeouts.retryInitialBackoff;
+  return timeouts;
+}
+
+}  // namespace cairnjunction
--- /dev/null
+++ b/tests/discovery/endpoint_list_call_test.cpp
@@ -0,0 +1,123 @@
+// One call to a scripted discovery on loopback: each way to end, and the connection afterwards.
+#include "discovery/endpoint_list_call.hpp"
+
+#include <gtest/gtest.h>
+
+#include "net_peers.hpp"
+
+namespace cairnjunction::testing {
+namespace {
+
+using namespace std::chrono_literals;
+
+std::optional<EndpointListFailure> failureOf(const EndpointListResult& result) {
+  const auto* failure = std::get_if<EndpointListFailure>(&result);
+  return failure ? std::optional(*failure) : std::nullopt;
+}
+
+class EndpointListCallTest : public LoopTest {
+ protected:
+  std::function<void(PeerConnection&)> onRequest = [](PeerConnection&) {};
+  std::vector<std::string> targets;
+  Peer server{io, [this](PeerConnection& connection) {
+                targets.push_back(connection.request.target().to_string());
+                onRequest(connection);
+              }};
+  std::shared_ptr<EndpointListCall> call = std::make_shared<EndpointListCall>(io, server.endpoint);
+  std::optional<EndpointListResult> result;
+
+  void start(std::chrono::milliseconds total = 60s) {
+    result.reset();
+    call->start("/discovery/hosts", 60s, total, [this](const EndpointListResult& ended) { result = ended; });
+    EXPECT_FALSE(result) << "never from within start()";
+  }
+  EndpointListResult run(std::chrono::milliseconds total = 60s) {
+    start(total);
+    EXPECT_TRUE(until([this] { return result.has_value(); }));
+    return result.value_or(EndpointListFailure::timedOut);
+  }
+  static std::string listAnswer() { return answerText(200, "", R"({"rev":3,"targets":[]})"); }
+};
+
+TEST_F(EndpointListCallTest, BringsAListAndKeepsTheConnection) {
+  onRequest = [](PeerConnection& connection) { connection.reply(listAnswer()); };
+  for (int i = 0; i < 2; ++i) {
+    const EndpointListResult ended = run();
+    ASSERT_TRUE(std::holds_alternative<EndpointList>(ended));
+    EXPECT_EQ(std::get<EndpointList>(ended).version, 3);
+    EXPECT_TRUE(call->reusable());
+  }
+  EXPECT_EQ(targets, (std::vector<std::string>{"/discovery/hosts", "/discovery/hosts"}));
+  EXPECT_EQ(server.connections.size(), 1u);
+}
+
+TEST_F(EndpointListCallTest, ClosesTheConnectionIfTheServerWantsThat) {
+  onRequest = [](PeerConnection& connection) {
+    connection.reply(answerText(200, "Connection: close\r\n", R"({"rev":3,"targets":[]})"));
+  };
+  EXPECT_TRUE(std::holds_alternative<EndpointList>(run()));
+  EXPECT_FALSE(call->reusable());
+}
+
+TEST_F(EndpointListCallTest, TellsTheKindsOfFailureApart) {
+  struct Case {
+    const char* name;
+    std::function<void(PeerConnection&)> onRequest;
+    EndpointListFailure expected;
+  };
+  const std::vector<Case> cases = {
+      {"503", [](PeerConnection& connection) { connection.reply(answerText(503, "", "")); },
+       EndpointListFailure::rejected},
+      {"reset", [](PeerConnection& connection) { connection.reset(); },
+       EndpointListFailure::connectionFailed},
+      {"closed", [](PeerConnection& connection) { connection.close(); },
+       EndpointListFailure::connectionFailed},
+      {"half an answer",
+       [](PeerConnection& connection) {
+         connection.reply("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{", true);
+       },
+       EndpointListFailure::connectionFailed},
+      {"no HTTP", [](PeerConnection& connection) { connection.reply("no answer at all\r\n\r\n"); },
+       EndpointListFailure::malformed},
+      {"no JSON", [](PeerConnection& connection) { connection.reply(answerText(200, "", "{")); },
+       EndpointListFailure::malformed},
+      {"no list",
+       [](PeerConnection& connection) { connection.reply(answerText(200, "", "{\"rev\":\"x\"}")); },
+       EndpointListFailure::malformed},
+  };
+  for (const Case& entry : cases) {
+    SCOPED_TRACE(entry.name);
+    onRequest = entry.onRequest;
+    EXPECT_EQ(failureOf(run()), entry.expected);
+    EXPECT_FALSE(call->reusable());
+  }
+}
+
+TEST_F(EndpointListCallTest, SilenceEndsItByItsTime) {
+  EXPECT_EQ(failureOf(run(20ms)), EndpointListFailure::timedOut);
+  EXPECT_FALSE(call->reusable());
+}
+
+TEST_F(EndpointListCallTest, ARefusedConnectionHasFailed) {
+  const ReservedPort nobody(io);
+  call = std::make_shared<EndpointListCall>(io, nobody.endpoint);
+  EXPECT_EQ(failureOf(run()), EndpointListFailure::connectionFailed);
+}
+
+// A call is cancelled while the server's answer is on its way, and its last pointer is released. It brings no
+// result, and the server sees its connection close.
+TEST_F(EndpointListCallTest, CancelledItBringsNoResult) {
+  bool answered = false;
+  onRequest = [&](PeerConnection& connection) {
+    connection.reply(listAnswer());
+    call->cancel();
+    call.reset();
+    answered = true;
+  };
+  start();
+  ASSERT_TRUE(until([&] { return answered && server.connections.front()->closedByPeer; }));
+  EXPECT_FALSE(result);
+}
+
+}  // namespace
+}  // namespace cairnjunction::testing
