--- a/src/membership/endpoint_health.hpp
+++ b/src/membership/endpoint_health.hpp
@@ -1,181 +1,120 @@
-// What is believed of each host, and why. Three sources speak of a host: the list, the connections to it, and
-// the answers that come over them. Membership keeps what each one says and derives one state with its reason;
-// from the state follows whether the decision module may send there (policy::Reach).
+// What is known of each endpoint, and the status that follows. Three sources speak of an endpoint: the list,
+// the connections to it, and the outcomes of attempts. Each is recorded by itself; the status and its reason
+// are derived from all, and decide whether the decision module may send there (policy::Reachability).
 //
-// It does no I/O, reads no clock, and decides nothing that the module decides: it only takes hosts out that
-// can't be reached, and lets one request at a time find out whether they are back.
+// This does no I/O, reads no clock, and decides nothing that the decision module decides: it only excludes
+// endpoints that can't be reached, and lets one request at a time probe whether they are back.
 //
-// The list may be late. So it is evidence beside the other two:
-//  - a host that the list names and that refuses connections is taken out at once;
-//  - one that the list has drained or dropped is never put back by any other source (the drain
-//    rule counts from what was told);
-//  - news in the list of a host (a new start, a new address) ends what was believed of its last process.
+// The list may be late, so it is one source beside the others:
+//  - an endpoint that the list has active and that refuses connections is unreachable at once;
+//  - one that the list has drained or removed is not put back by any other source;
+//  - a new start or a new address in the list ends what was recorded of the process before.
 #pragma once
 
-#include <chrono>
 #include <cstddef>
 #include <cstdint>
-#include <string_view>
 #include <vector>
 
 #include "cairnjunction/load_balancer.hpp"
+#include "membership/endpoint_record.hpp"
+#include "membership/endpoint_status.hpp"
+#include "membership/list_staleness.hpp"
+#include "membership/probe_scheduler.hpp"
+#include "membership/settings.hpp"
 
 namespace cairnjunction {
 
-enum class EndpointCondition {
-  serving,
-  warmingUp,    // serves, within the cold time of its start
-  suspect,      // something speaks against it; it is still sent to
-  unreachable,  // no connection to it can be had: sent to by single probes only
-  draining,     // told so by the list: nothing new
-  removed       // told so by the list, or left out by a whole one
-};
-std::string_view nameOf(EndpointCondition standing);
-
-enum class ConditionReason {
-  listed,             // the list names it and nothing speaks against it
-  justStarted,        // lately, by the list
-  connectionRefused,  // it refused a connection, and none is open
-  connectionLimit,    // it refused a connection while others are open: it holds as many as it wants
-  connectTimeout,     // a new connection didn't come up, and nothing was heard since it was begun
-  connectionLost,     // a connection broke under an attempt, and nothing was heard since
-  attemptTimeout,     // an attempt ran out of time, and nothing was heard since it was sent
-  overloaded,         // it answers, and has for a while turned away all that it was sent
-  listUpdate          // by the list
-};
-std::string_view nameOf(ConditionReason reason);
-
-struct EndpointStatus {
-  EndpointCondition condition = EndpointCondition::serving;
-  ConditionReason reason = ConditionReason::listed;
-};
-
 class EndpointHealth {
  public:
-  struct Settings {
-    policy::Duration slowStartDuration{};  // after a start
-    // Probes of one unreachable host: the first after this, each further one after twice as long.
-    policy::Duration probeInitialBackoff = std::chrono::milliseconds(100);
-    policy::Duration probeMaxBackoff = std::chrono::milliseconds(800);
-    // One that says nothing costs its probe the time for connecting, so it is asked less often.
-    policy::Duration silentProbeInitialBackoff = std::chrono::milliseconds(500);
-    policy::Duration silentProbeMaxBackoff = std::chrono::seconds(4);
-    // Over all hosts: each probe is a request that starts late, so many may do so at a time.
-    double probesPerSecond = 20;
-    // New connections that stay silent on end, with nothing heard, before the host is taken out.
-    int connectTimeoutLimit = 2;
-    // So many turned away on end, over at least this time with nothing served, are no short peak.
-    int overloadedStreak = 8;
-    policy::Duration overloadedDuration = std::chrono::milliseconds(500);
-    // Of a fleet: how long another gateway's word stands in for own probes of a host at most, since this
-    // gateway last tried it. Whoever is wrong, or lies, keeps a host out no longer; drawn down to half by
-    // `spread`.
-    policy::Duration delegationMaxDuration = std::chrono::seconds(10);
-    // The list is doubted once a host that it has serving can't be reached, or turns all away, for so long;
-    policy::Duration staleAfter = std::chrono::milliseconds(400);
-    // asked about again after this, and each further time after twice as long,
-    policy::Duration resyncInitialBackoff = std::chrono::seconds(2);
-    int resyncMaxDoublings = 3;  // up to so often;
-    policy::Duration resyncRetryAfterFailure =
-        std::chrono::seconds(1);  // and after this if discovery did not answer.
-    // From 0 to 1, another one at each gateway: those that see the same failure are not to ask in one moment.
-    double jitter = 0.5;
-  };
+  using Settings = EndpointHealthSettings;
 
+  // For the decision module: whether it may send to an endpoint from now on.
   struct ReachabilityChange {
     policy::EndpointId endpoint = policy::kNone;
     policy::Reachability reachability = policy::Reachability::reachable;
-    // With Reach::open: its process is no older than this, by what was seen of it; zero: nothing was seen.
+    // With `reachable`: its process started after this, by what was seen of it; zero if nothing was.
     policy::Timestamp startedAfter{};
-    ConditionReason reason = ConditionReason::connectionRefused;  // it was taken out
-    policy::Duration unreachableFor{};                            // with Reach::open: since it was
+    // Why it is unreachable, or was until now.
+    ConditionReason reason = ConditionReason::connectionRefused;
+    // With `reachable`: how long it was not.
+    policy::Duration unreachableFor{};
   };
 
-  struct ListedEndpoint {  // an entry of the list, with the module's name of its host
-    policy::EndpointId endpoint = policy::kNone;
+  // An entry of the list, by the decision module's number for its endpoint.
+  struct ListedEndpoint {
+    policy::EndpointId endpoint = policy::kNone;  // none: removed, and so not numbered any more
     policy::EndpointState state = policy::EndpointState::active;
-    policy::Timestamp startedAt{};  // latest start; zero = long past
+    policy::Timestamp startedAt{};  // the latest start of its process; zero = long ago
   };
 
-  explicit EndpointHealth(Settings settings) : settings_(settings) {}
-  void setSlowStartDuration(policy::Duration coldTime) { settings_.slowStartDuration = coldTime; }
+  explicit EndpointHealth(const Settings& settings);
+  void setSlowStartDuration(policy::Duration duration) { settings_.slowStartDuration = duration; }
+
+  // --- Events; `now` never goes back.
 
-  // The list, whole or in part; a host that a whole one leaves out is gone. `restored`: from before our
-  // start.
-  void onList(policy::Timestamp now, policy::EndpointListKind kind, const std::vector<ListedEndpoint>& hosts);
-  void onAddressChanged(policy::Timestamp now, policy::EndpointId host);  // the list gave it another address
-  // How many connections to it are established; told at each change.
-  void onConnections(policy::Timestamp now, policy::EndpointId host, std::uint32_t up);
-  void onAttemptStarted(policy::EndpointId host, policy::RequestId request, std::uint32_t attempt);
+  // The list has come. With `replace` or `restored` an endpoint that it does not name is removed; `restored`
+  // is a list from before the start of the program.
+  void onList(policy::Timestamp now, policy::EndpointListKind kind,
+              const std::vector<ListedEndpoint>& endpoints);
+  // The list has given the endpoint another address.
+  void onAddressChanged(policy::Timestamp now, policy::EndpointId endpoint);
+  // So many connections to it are established; called at each change.
+  void onConnections(policy::Timestamp now, policy::EndpointId endpoint, std::uint32_t open);
+  void onAttemptStarted(policy::EndpointId endpoint, policy::RequestId request, std::uint32_t attempt);
   void onAttemptEnded(policy::Timestamp now, const policy::AttemptResult& result);
-  void forget(policy::EndpointId host);
-  // Of a fleet: another gateway tries this host for all until then, and says what it finds.
-  void delegateProbing(policy::Timestamp now, policy::EndpointId host, policy::Timestamp until);
-  // It was found taking connections so long ago. What this gateway saw later by itself goes before.
-  void onRemoteProbeResult(policy::Timestamp now, policy::EndpointId host, policy::Duration age);
-  std::vector<policy::EndpointId> unreachableEndpoints() const;  // listed to serve, and unreachable
-  // What falls due by time: probes. Wanted every 100 ms or so; extra calls do no harm.
+  // Its number is free, and may be given to another endpoint.
+  void forget(policy::EndpointId endpoint);
+  // Another gateway of the fleet probes this endpoint until then, and reports what it finds.
+  void delegateProbing(policy::Timestamp now, policy::EndpointId endpoint, policy::Timestamp until);
+  // Another gateway found, so long ago, that it accepts connections. What this gateway has seen since counts
+  // more.
+  void onRemoteProbeResult(policy::Timestamp now, policy::EndpointId endpoint, policy::Duration age);
+  // Starts the probes that are due. To be called every 100 ms or so; more often does no harm.
   void onTick(policy::Timestamp now);
+  // The resync that was requested was not answered; it may be requested again sooner.
+  void onResyncFailed(policy::Timestamp now) { staleness_.onResyncFailed(now); }
 
-  // Since the last take, in order: what the module is to be told.
+  // --- What follows.
+
+  // The changes since the last call, in order.
   std::vector<ReachabilityChange> takeChanges();
-  // Whether discovery should be asked beside the watch, since what the list says is not what is seen. True at
-  // most as often as the settings space it.
+  // Whether discovery is to be asked for the list beside the watch, since the list contradicts what is seen.
+  // True at most as often as the settings allow.
   bool takeResyncRequest(policy::Timestamp now);
-  // The question came to nothing: it may be asked again sooner.
-  void onResyncFailed(policy::Timestamp now);
 
-  EndpointStatus statusOf(policy::EndpointId host,
-                          policy::Timestamp now) const;           // gone, if it was never named
-  policy::Duration listAge(policy::Timestamp now) const;          // since discovery last spoke, by any answer
-  std::vector<ListedEndpoint> listedEndpoints() const;            // by the list: serving or draining
-  std::size_t activeCount() const;                                // told to serve
-  std::uint64_t probesStarted() const { return probesOffered_; }  // offered since the start
-  std::size_t unreachableCount() const;                           // of these
+  // Removed, if no list has named it.
+  EndpointStatus statusOf(policy::EndpointId endpoint, policy::Timestamp now) const;
+  // Since discovery last answered.
+  policy::Duration listAge(policy::Timestamp now) const { return staleness_.age(now); }
+  // The endpoints that the list has active or draining.
+  std::vector<ListedEndpoint> listedEndpoints() const;
+  // The endpoints that the list has active and that are unreachable.
+  std::vector<policy::EndpointId> unreachableEndpoints() const;
+  std::size_t activeCount() const;       // endpoints that the list has active
+  std::size_t unreachableCount() const;  // of these, unreachable
+  std::uint64_t probesStarted() const { return probes_.probesStarted(); }  // since the start
 
  private:
-  struct Host {
-    bool known = false;
-    // The list.
-    policy::EndpointState phase = policy::EndpointState::removed;
-    policy::Timestamp upSince{};
-    // The connections.
-    std::uint32_t up = 0;
-    int silentDials = 0;  // on end
-    bool crowded = false;
-    // The answers.
-    policy::Timestamp heardAt{}, lostAt{}, waitedAt{}, turnedAwayAt{};  // the last one: the first of the row
-    int turnedAway = 0;                                                 // on end
-    // Being out.
-    bool out = false, probing = false;
-    ConditionReason why = ConditionReason::connectionRefused;
-    int probes = 0;  // that failed
-    policy::Timestamp outAt{}, probeAt{}, refusedAt{}, startedAfter{};
-    policy::Timestamp triedAt{}, othersUntil{};  // by this gateway, last; by others
-    policy::RequestId probeRequest = 0;
-    std::uint32_t probeAttempt = 0;
-    policy::Reachability reach = policy::Reachability::reachable;  // as the module was told
-  };
-
-  Host* find(policy::EndpointId host);
-  EndpointStatus derive(const Host& h, policy::Timestamp now) const;
-  void tell(Host& h, policy::Reachability reach, policy::Duration away = {});
-  void takeOut(Host& h, policy::Timestamp now, ConditionReason why);
-  void bringBack(Host& h, policy::Timestamp now);
-  void schedule(Host& h, policy::Timestamp now);
-  void heard(Host& h, policy::Timestamp now, const policy::AttemptResult& result);
-  void failedToConnect(Host& h, policy::Timestamp now, const policy::AttemptResult& result);
-  bool turnsAllAway(const Host& h, policy::Timestamp now) const;
-  bool listDoubtful(policy::Timestamp now) const;
+  EndpointRecord& recordFor(policy::EndpointId endpoint);
+  EndpointRecord* findKnown(policy::EndpointId endpoint);
+  void applyEntry(policy::Timestamp now, const ListedEndpoint& entry);
+  void recordOutcome(EndpointRecord& record, policy::Timestamp now, const policy::AttemptResult& result);
+  void onResponse(EndpointRecord& record, policy::Timestamp now, const policy::AttemptResult& result);
+  void onConnectFailed(EndpointRecord& record, policy::Timestamp now, const policy::AttemptResult& result);
+  void onProbeEnded(EndpointRecord& record, policy::Timestamp now, const policy::AttemptResult& result);
+  void setUnreachable(EndpointRecord& record, policy::Timestamp now, ConditionReason reason);
+  void setReachable(EndpointRecord& record, policy::Timestamp now);
+  void scheduleProbe(EndpointRecord& record, policy::Timestamp now) const;
+  bool isProbeDue(const EndpointRecord& record, policy::Timestamp now) const;
+  void report(EndpointRecord& record, policy::Reachability reachability,
+              policy::Duration unreachableFor = {});
+  ListContradictions contradictions(policy::Timestamp now) const;
 
   Settings settings_;
-  std::vector<Host> hosts_;  // by HostId: these are small numbers, and given out again
+  std::vector<EndpointRecord> records_;  // by EndpointId: small numbers, which are given out again
   std::vector<ReachabilityChange> changes_;
-  double probeTokens_ = 1;
-  std::uint64_t probesOffered_ = 0;
-  policy::Timestamp tokensAt_{}, listAt_{}, doubtAt_{};
-  int doubts_ = 0;         // on end
-  std::size_t first_ = 0;  // the host at which the next round of probes begins
+  ProbeScheduler probes_;
+  ListStaleness staleness_;
 };
 
 }  // namespace cairnjunction
--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -27,7 +27,7 @@
 };
 
 class DiscoveryClientTest : public LoopTest {
- protected:
+ public:
   std::vector<DiscoveryCall> calls;
   std::function<void(std::size_t, PeerConnection&)> onCall = [](std::size_t, PeerConnection&) {};
   // Another server for each start, so that no late call of one run is counted in the next.
@@ -358,7 +358,7 @@
 // --- Another server -------------------------------------------------------------------------------
 
 class DiscoveryClientMoveTest : public DiscoveryClientTest {
- protected:
+ public:
   std::vector<DiscoveryCall> newServerCalls;
   std::function<void(std::size_t, PeerConnection&)> onNewServerCall = [](std::size_t, PeerConnection&) {};
   std::vector<std::unique_ptr<Peer>> newServers;
--- a/tests/discovery/endpoint_list_call_test.cpp
+++ b/tests/discovery/endpoint_list_call_test.cpp
@@ -16,7 +16,7 @@
 }
 
 class EndpointListCallTest : public LoopTest {
- protected:
+ public:
   std::function<void(PeerConnection&)> onRequest = [](PeerConnection&) {};
   std::vector<std::string> targets;
   Peer server{io, [this](PeerConnection& connection) {
--- a/tests/discovery/one_shot_timer_test.cpp
+++ b/tests/discovery/one_shot_timer_test.cpp
@@ -14,7 +14,7 @@
 using namespace std::chrono_literals;
 
 class OneShotTimerTest : public ::testing::Test {
- protected:
+ public:
   boost::asio::io_context io;
   std::unique_ptr<OneShotTimer> timer = std::make_unique<OneShotTimer>(io);
   std::vector<int> called;
--- a/tests/membership/endpoint_health_test.cpp
+++ b/tests/membership/endpoint_health_test.cpp
@@ -1,5 +1,5 @@
-// What is believed of hosts, under a simulated clock: each failure told as the pool and the list would tell
-// it.
+// The status of endpoints and the changes of their reachability, under a simulated clock: each event comes as
+// the upstream and the list would bring it.
 #include "membership/endpoint_health.hpp"
 
 #include <gtest/gtest.h>
@@ -21,102 +21,109 @@
 using policy::Reachability;
 using policy::Timestamp;
 
-class MembershipTest : public ::testing::Test {
- protected:
+class EndpointHealthTest : public ::testing::Test {
+ public:
   Timestamp now{24h};
   EndpointHealth::Settings settings;
-  std::unique_ptr<EndpointHealth> beliefs;
-  std::map<EndpointId, Reachability> reach;  // as the module has been told
+  std::unique_ptr<EndpointHealth> health;
+  std::map<EndpointId, Reachability> reach;  // as the decision module was notified
   std::map<EndpointId, Timestamp> startedAfter;
-  std::map<EndpointId, int> probes;  // offered
-  policy::RequestId last = 0;
+  std::map<EndpointId, int> probes;  // started
+  policy::RequestId lastRequest = 0;
 
   void SetUp() override {
     settings.slowStartDuration = 9s;
-    beliefs = std::make_unique<EndpointHealth>(settings);
+    health = std::make_unique<EndpointHealth>(settings);
   }
-  void list(EndpointId hosts, EndpointListKind kind = EndpointListKind::replace, Timestamp upSince = {}) {
-    std::vector<EndpointHealth::ListedEndpoint> named;
-    for (EndpointId h = 0; h < hosts; ++h) named.push_back({h, EndpointState::active, upSince});
-    beliefs->onList(now, kind, named);
-    take();
+  void list(EndpointId endpoints, EndpointListKind kind = EndpointListKind::replace,
+            Timestamp startedAt = {}) {
+    std::vector<EndpointHealth::ListedEndpoint> entries;
+    for (EndpointId endpoint = 0; endpoint < endpoints; ++endpoint)
+      entries.push_back({endpoint, EndpointState::active, startedAt});
+    health->onList(now, kind, entries);
+    collectChanges();
   }
-  void tell(EndpointId host, EndpointState phase, Timestamp upSince = {}) {
-    beliefs->onList(now, EndpointListKind::update, {{host, phase, upSince}});
-    take();
+  void update(EndpointId endpoint, EndpointState state, Timestamp startedAt = {}) {
+    health->onList(now, EndpointListKind::update, {{endpoint, state, startedAt}});
+    collectChanges();
   }
-  void take() {
-    for (const EndpointHealth::ReachabilityChange& c : beliefs->takeChanges()) {
-      reach[c.endpoint] = c.reachability;
-      startedAfter[c.endpoint] = c.startedAfter;
-      probes[c.endpoint] += c.reachability == Reachability::probeOnly;
+  void collectChanges() {
+    for (const EndpointHealth::ReachabilityChange& change : health->takeChanges()) {
+      reach[change.endpoint] = change.reachability;
+      startedAfter[change.endpoint] = change.startedAfter;
+      probes[change.endpoint] += change.reachability == Reachability::probeOnly;
     }
   }
-  // One attempt, sent and ended.
-  void attempt(EndpointId host, Outcome outcome, FailureReason fault = FailureReason::unknown,
-               ConnectionUse carrier = ConnectionUse::opened, policy::Duration taken = 1ms) {
-    ++last;
-    beliefs->onAttemptStarted(host, last, 0);
-    now += taken;
-    beliefs->onAttemptEnded(now, {last, 0, host, outcome, taken, false, fault, carrier, false});
-    take();
+  // Sends an attempt, which ends after `elapsed`.
+  void attempt(EndpointId endpoint, Outcome outcome, FailureReason reason = FailureReason::unknown,
+               ConnectionUse connectionUse = ConnectionUse::opened, policy::Duration elapsed = 1ms) {
+    ++lastRequest;
+    health->onAttemptStarted(endpoint, lastRequest, 0);
+    now += elapsed;
+    health->onAttemptEnded(now,
+                           {lastRequest, 0, endpoint, outcome, elapsed, false, reason, connectionUse, false});
+    collectChanges();
   }
-  void refused(EndpointId host) {
-    attempt(host, Outcome::connectFailed, FailureReason::connectionRefused, ConnectionUse::none);
+  void refused(EndpointId endpoint) {
+    attempt(endpoint, Outcome::connectFailed, FailureReason::connectionRefused, ConnectionUse::none);
   }
-  void silent(EndpointId host) {
-    attempt(host, Outcome::connectFailed, FailureReason::connectTimeout, ConnectionUse::none, 200ms);
+  void silent(EndpointId endpoint) {
+    attempt(endpoint, Outcome::connectFailed, FailureReason::connectTimeout, ConnectionUse::none, 200ms);
   }
-  // Wakes every 10 ms; `each` may use what is offered.
+  // Ticks every 10 ms and calls `each`, which may answer probes.
   template <class Each>
-  void pass(policy::Duration time, Each each) {
+  void passTime(policy::Duration time, Each each) {
     for (const Timestamp end = now + time; now < end;) {
       now += 10ms;
-      beliefs->onTick(now);
-      take();
+      health->onTick(now);
+      collectChanges();
       each();
     }
   }
-  void pass(policy::Duration time) {
-    pass(time, [] {});
+  void passTime(policy::Duration time) {
+    passTime(time, [] {});
   }
-  EndpointCondition standing(EndpointId host) const { return beliefs->statusOf(host, now).condition; }
-  ConditionReason reason(EndpointId host) const { return beliefs->statusOf(host, now).reason; }
+  EndpointCondition condition(EndpointId endpoint) const { return health->statusOf(endpoint, now).condition; }
+  ConditionReason reason(EndpointId endpoint) const { return health->statusOf(endpoint, now).reason; }
 };
 
-// --- Out and back -----------------------------------------------------------------------------------------
+// --- Reachability and probes
+// -----------------------------------------------------------------------------------------
 
-TEST_F(MembershipTest, AHostThatRefusesIsOutAtOnceAndComesBackByAnAnswerUnderTheColdRule) {
+// An endpoint refuses a connection. It is unreachable at once, probed after 100 ms, and reachable when that
+// is answered; since its process must be a new one, it is in slow start.
+TEST_F(EndpointHealthTest, RefusalMakesUnreachableUntilAProbeIsAnsweredAndThenSlowStartHolds) {
   list(3);
   const Timestamp before = now;
   refused(1);
   EXPECT_EQ(reach[1], Reachability::unreachable);
-  EXPECT_EQ(standing(1), EndpointCondition::unreachable);
+  EXPECT_EQ(condition(1), EndpointCondition::unreachable);
   EXPECT_EQ(reason(1), ConditionReason::connectionRefused);
-  EXPECT_EQ(beliefs->unreachableCount(), 1u);
-  EXPECT_EQ(beliefs->activeCount(), 3u);
-  pass(90ms);
+  EXPECT_EQ(health->unreachableCount(), 1u);
+  EXPECT_EQ(health->activeCount(), 3u);
+  passTime(90ms);
   EXPECT_EQ(reach[1], Reachability::unreachable);
-  pass(20ms);
+  passTime(20ms);
   EXPECT_EQ(reach[1], Reachability::probeOnly);
   attempt(1, Outcome::served);
   EXPECT_EQ(reach[1], Reachability::reachable);
   // What takes connections where one was refused is a new process.
   EXPECT_GT(startedAfter[1], before);
-  EXPECT_EQ(standing(1), EndpointCondition::warmingUp);
-  pass(9s);
-  EXPECT_EQ(standing(1), EndpointCondition::serving);
+  EXPECT_EQ(condition(1), EndpointCondition::warmingUp);
+  passTime(9s);
+  EXPECT_EQ(condition(1), EndpointCondition::serving);
 }
 
-TEST_F(MembershipTest, ProbesOfOneHostComeOneAtATimeAndEverLater) {
+// An endpoint refuses all its probes for 10 s. They come one at a time and at growing intervals.
+TEST_F(EndpointHealthTest, ProbesOfOneEndpointBackOff) {
   list(2);
   refused(0);
   std::vector<Timestamp> sent;
-  pass(10s, [&] {
+  passTime(10s, [&] {
     if (reach[0] != Reachability::probeOnly) return;
     sent.push_back(now);
     refused(0);
-    reach[0] = Reachability::unreachable;  // as the module does when it sends
+    reach[0] = Reachability::unreachable;  // as the decision module does when it sends
   });
   ASSERT_GE(sent.size(), 5u);
   EXPECT_LE(sent.size(), 16u);
@@ -125,117 +132,129 @@
   EXPECT_GE(sent.back() - sent[sent.size() - 2], settings.probeMaxBackoff);
 }
 
-TEST_F(MembershipTest, AProbeThatIsOutIsTheOnlyOne) {
+// A probe is pending for seconds, and an older attempt at the same endpoint fails meanwhile. No other probe
+// starts before the pending one has ended.
+TEST_F(EndpointHealthTest, NoProbeStartsWhileOneIsPending) {
   list(2);
   refused(0);
-  pass(200ms);
+  passTime(200ms);
   ASSERT_EQ(reach[0], Reachability::probeOnly);
   ASSERT_EQ(probes[0], 1);
-  beliefs->onAttemptStarted(0, 77, 0);
-  pass(5s);
+  health->onAttemptStarted(0, 77, 0);
+  passTime(5s);
   EXPECT_EQ(probes[0], 1);
   // An attempt from before that ends now is not the probe.
   attempt(0, Outcome::connectFailed, FailureReason::connectionRefused, ConnectionUse::none);
-  pass(2s);
+  passTime(2s);
   EXPECT_EQ(probes[0], 1);
-  beliefs->onAttemptEnded(now, {77, 0, 0, Outcome::connectFailed, 1ms, false,
-                                FailureReason::connectionRefused, ConnectionUse::none, false});
-  pass(1s);
+  health->onAttemptEnded(now, {77, 0, 0, Outcome::connectFailed, 1ms, false, FailureReason::connectionRefused,
+                               ConnectionUse::none, false});
+  passTime(1s);
   EXPECT_EQ(probes[0], 2);
 }
 
-TEST_F(MembershipTest, ProbesOfAllHostsTogetherAreBoundedAndEachHasItsTurn) {
+// A hundred endpoints are unreachable. Their probes keep to the rate over all, and each is probed.
+TEST_F(EndpointHealthTest, ProbesOfAllEndpointsAreBoundedAndNoneIsLeftOut) {
   list(100);
-  for (EndpointId h = 0; h < 100; ++h) refused(h);
-  EXPECT_EQ(beliefs->unreachableCount(), 100u);
+  for (EndpointId endpoint = 0; endpoint < 100; ++endpoint) refused(endpoint);
+  EXPECT_EQ(health->unreachableCount(), 100u);
   int offered = 0;
-  std::set<EndpointId> asked;
-  pass(10s, [&] {
-    for (EndpointId h = 0; h < 100; ++h)
-      if (reach[h] == Reachability::probeOnly) {
+  std::set<EndpointId> probed;
+  passTime(10s, [&] {
+    for (EndpointId endpoint = 0; endpoint < 100; ++endpoint)
+      if (reach[endpoint] == Reachability::probeOnly) {
         ++offered;
-        asked.insert(h);
-        refused(h);
-        reach[h] = Reachability::unreachable;
+        probed.insert(endpoint);
+        refused(endpoint);
+        reach[endpoint] = Reachability::unreachable;
       }
   });
   EXPECT_LE(offered, static_cast<int>(10 * settings.probesPerSecond) + 6);
   EXPECT_GE(offered, 150);
-  EXPECT_EQ(asked.size(), 100u);
+  EXPECT_EQ(probed.size(), 100u);
 }
 
-TEST_F(MembershipTest, AHostThatRefusesWhileOthersAreOpenIsOnlySuspectTillTheyEnd) {
+// An endpoint refuses a connection while three are open, so it is at its limit. When these close without
+// another word, its process was ending: it is unreachable.
+TEST_F(EndpointHealthTest, RefusalWhileConnectionsAreOpenMakesSuspectUntilTheyClose) {
   list(2);
-  beliefs->onConnections(now, 0, 3);
+  health->onConnections(now, 0, 3);
   refused(0);
-  EXPECT_EQ(standing(0), EndpointCondition::suspect);
+  EXPECT_EQ(condition(0), EndpointCondition::suspect);
   EXPECT_EQ(reason(0), ConditionReason::connectionLimit);
   EXPECT_EQ(reach.count(0), 0u);
-  beliefs->onConnections(now, 0, 1);
-  take();
+  health->onConnections(now, 0, 1);
+  collectChanges();
   EXPECT_EQ(reach.count(0), 0u);
-  beliefs->onConnections(now, 0, 0);  // it was the end of its process after all
-  take();
+  health->onConnections(now, 0, 0);  // it was the end of its process after all
+  collectChanges();
   EXPECT_EQ(reach[0], Reachability::unreachable);
-  EXPECT_EQ(standing(0), EndpointCondition::unreachable);
+  EXPECT_EQ(condition(0), EndpointCondition::unreachable);
 }
 
-TEST_F(MembershipTest, AMachineThatVanishedIsOutAfterTwoSilentDialsAndBackWithoutTheColdRule) {
+// A machine is cut off from the network and comes back. Two connect timeouts make its endpoint unreachable;
+// the process is the one it was, so there is no slow start.
+TEST_F(EndpointHealthTest, TwoConnectTimeoutsMakeUnreachableAndRecoveryHasNoSlowStart) {
   list(2);
   attempt(0, Outcome::served);
   now += 1s;
   silent(0);
-  EXPECT_EQ(standing(0), EndpointCondition::suspect);
+  EXPECT_EQ(condition(0), EndpointCondition::suspect);
   EXPECT_EQ(reason(0), ConditionReason::connectTimeout);
   silent(0);
-  EXPECT_EQ(standing(0), EndpointCondition::unreachable);
+  EXPECT_EQ(condition(0), EndpointCondition::unreachable);
   EXPECT_EQ(reach[0], Reachability::unreachable);
-  pass(400ms);
+  passTime(400ms);
   EXPECT_EQ(reach[0], Reachability::unreachable)
       << "a probe costs the time for connecting, so it comes later";
-  pass(200ms);
+  passTime(200ms);
   ASSERT_EQ(reach[0], Reachability::probeOnly);
   attempt(0, Outcome::served);  // it was cut off, and has the process that it had
   EXPECT_EQ(reach[0], Reachability::reachable);
   EXPECT_EQ(startedAfter[0], Timestamp{});
-  EXPECT_EQ(standing(0), EndpointCondition::serving);
+  EXPECT_EQ(condition(0), EndpointCondition::serving);
 }
 
-TEST_F(MembershipTest, AHostThatAnswersMeanwhileIsTooBusyForANewConnectionAndNotGone) {
+// Five connections time out, but during each the endpoint responds on another one: it is busy, not gone.
+TEST_F(EndpointHealthTest, ConnectTimeoutDuringWhichItRespondedDoesNotCount) {
   list(2);
   for (int i = 0; i < 5; ++i) {
-    ++last;
-    beliefs->onAttemptStarted(0, last, 0);
-    const auto dial = last;
+    ++lastRequest;
+    health->onAttemptStarted(0, lastRequest, 0);
+    const auto connecting = lastRequest;
     now += 100ms;
     attempt(0, Outcome::served, FailureReason::unknown, ConnectionUse::reused);
     now += 100ms;
-    beliefs->onAttemptEnded(now, {dial, 0, 0, Outcome::connectFailed, 201ms, false,
-                                  FailureReason::connectTimeout, ConnectionUse::none, false});
-    take();
+    health->onAttemptEnded(now, {connecting, 0, 0, Outcome::connectFailed, 201ms, false,
+                                 FailureReason::connectTimeout, ConnectionUse::none, false});
+    collectChanges();
   }
   EXPECT_EQ(reach.count(0), 0u);
-  EXPECT_EQ(standing(0), EndpointCondition::serving);
+  EXPECT_EQ(condition(0), EndpointCondition::serving);
 }
 
-// --- What says nothing of a host --------------------------------------------------------------------------
+// --- Outcomes that say little or nothing
+// --------------------------------------------------------------------------
 
-TEST_F(MembershipTest, OurOwnLackSaysNothingOfAnyHost) {
+// Attempts fail for reasons of this gateway: no descriptor, no time left, cancelled, lost while writing.
+TEST_F(EndpointHealthTest, LocalFailuresSayNothingOfAnEndpoint) {
   list(4);
   for (int round = 0; round < 20; ++round)
-    for (const FailureReason fault : {FailureReason::noDescriptor, FailureReason::attemptTimeout,
-                                      FailureReason::cancelledBeforeSend, FailureReason::brokenWhileWriting})
-      attempt(static_cast<EndpointId>(round % 4), Outcome::connectFailed, fault, ConnectionUse::none);
-  for (EndpointId h = 0; h < 4; ++h) EXPECT_EQ(standing(h), EndpointCondition::serving) << h;
+    for (const FailureReason reason : {FailureReason::noDescriptor, FailureReason::attemptTimeout,
+                                       FailureReason::cancelledBeforeSend, FailureReason::brokenWhileWriting})
+      attempt(static_cast<EndpointId>(round % 4), Outcome::connectFailed, reason, ConnectionUse::none);
+  for (EndpointId endpoint = 0; endpoint < 4; ++endpoint)
+    EXPECT_EQ(condition(endpoint), EndpointCondition::serving) << endpoint;
   EXPECT_TRUE(reach.empty());
-  EXPECT_FALSE(beliefs->takeResyncRequest(now));
+  EXPECT_FALSE(health->takeResyncRequest(now));
 }
 
-TEST_F(MembershipTest, AProbeThatNeverLeftUsIsOfferedAgainWithoutALongerWait) {
+// Six probes in a row find no descriptor. Each next one starts as soon as the first did.
+TEST_F(EndpointHealthTest, ProbeThatNeverLeftTheGatewayDoesNotLengthenTheBackoff) {
   list(2);
   refused(0);
   for (int i = 1; i <= 6; ++i) {
-    pass(200ms);
+    passTime(200ms);
     ASSERT_EQ(reach[0], Reachability::probeOnly) << i;
     ASSERT_EQ(probes[0], i);
     attempt(0, Outcome::connectFailed, FailureReason::noDescriptor, ConnectionUse::none);
@@ -243,234 +262,258 @@
   }
 }
 
-TEST_F(MembershipTest, SpoiltAnswersComeFromAHostThatIsThere) {
+// An endpoint sends nothing but malformed responses. It stays reachable, and one that was unreachable is
+// reachable again.
+TEST_F(EndpointHealthTest, MalformedResponsesComeFromAReachableEndpoint) {
   list(2);
   for (int i = 0; i < 50; ++i) attempt(0, Outcome::error, FailureReason::malformedResponse);
   attempt(0, Outcome::reset, FailureReason::malformedResponse);
-  EXPECT_EQ(standing(0), EndpointCondition::serving);
+  EXPECT_EQ(condition(0), EndpointCondition::serving);
   refused(1);
-  pass(110ms);
+  passTime(110ms);
   attempt(1, Outcome::error, FailureReason::malformedResponse);
   EXPECT_EQ(reach[1], Reachability::reachable);
 }
 
-TEST_F(MembershipTest, ABrokenConnectionAndAnOverdueAnswerMakeSuspectTillItIsHeard) {
+TEST_F(EndpointHealthTest, LostConnectionOrTimeoutMakesSuspectUntilAResponse) {
   list(2);
   attempt(0, Outcome::reset);
   EXPECT_EQ(reason(0), ConditionReason::connectionLost);
   attempt(0, Outcome::error);
-  EXPECT_EQ(standing(0), EndpointCondition::serving);
+  EXPECT_EQ(condition(0), EndpointCondition::serving);
   attempt(0, Outcome::timeout, FailureReason::unknown, ConnectionUse::reused, 300ms);
   EXPECT_EQ(reason(0), ConditionReason::attemptTimeout);
-  EXPECT_EQ(reach.count(0), 0u) << "suspects are still sent to";
+  EXPECT_EQ(reach.count(0), 0u) << "a suspect endpoint still gets requests";
   attempt(0, Outcome::served);
-  EXPECT_EQ(standing(0), EndpointCondition::serving);
+  EXPECT_EQ(condition(0), EndpointCondition::serving);
 }
 
 // --- The list ---------------------------------------------------------------------------------------------
 
-TEST_F(MembershipTest, WhatTheListHasDrainedOrDroppedNothingElseBringsBack) {
+// Endpoints are drained and removed, and late responses of both arrive. They stay as the list has them, and
+// get no probes.
+TEST_F(EndpointHealthTest, NothingButTheListUndoesADrainOrARemoval) {
   list(3);
   refused(0);
-  tell(0, EndpointState::draining);
-  tell(1, EndpointState::removed);
-  EXPECT_EQ(standing(0), EndpointCondition::draining);
-  EXPECT_EQ(standing(1), EndpointCondition::removed);
+  update(0, EndpointState::draining);
+  update(1, EndpointState::removed);
+  EXPECT_EQ(condition(0), EndpointCondition::draining);
+  EXPECT_EQ(condition(1), EndpointCondition::removed);
   probes.clear();
-  pass(10s);
+  passTime(10s);
   EXPECT_EQ(probes[0], 0);
   EXPECT_EQ(probes[1], 0);
   attempt(0, Outcome::served);  // of an attempt from before
   attempt(1, Outcome::served);
-  EXPECT_EQ(standing(0), EndpointCondition::draining);
-  EXPECT_EQ(standing(1), EndpointCondition::removed);
+  EXPECT_EQ(condition(0), EndpointCondition::draining);
+  EXPECT_EQ(condition(1), EndpointCondition::removed);
 }
 
-TEST_F(MembershipTest, AllOfTheFleetReplacedWithinOneListPeriod) {
+// All ten endpoints refuse connections, and then a list names ten others. The new ones have nothing against
+// them.
+TEST_F(EndpointHealthTest, AllEndpointsReplacedByOneList) {
   list(10);
-  for (EndpointId h = 0; h < 10; ++h) refused(h);
-  EXPECT_EQ(beliefs->unreachableCount(), 10u);
+  for (EndpointId endpoint = 0; endpoint < 10; ++endpoint) refused(endpoint);
+  EXPECT_EQ(health->unreachableCount(), 10u);
   std::vector<EndpointHealth::ListedEndpoint> fresh;
-  for (EndpointId h = 10; h < 20; ++h) fresh.push_back({h, EndpointState::active, now - 1s});
-  beliefs->onList(now, EndpointListKind::replace, fresh);
-  take();
-  EXPECT_EQ(beliefs->activeCount(), 10u);
-  EXPECT_EQ(beliefs->unreachableCount(), 0u);
-  for (EndpointId h = 0; h < 10; ++h) EXPECT_EQ(standing(h), EndpointCondition::removed);
-  for (EndpointId h = 10; h < 20; ++h) {
-    EXPECT_EQ(standing(h), EndpointCondition::warmingUp);
-    EXPECT_EQ(reach.count(h), 0u);
+  for (EndpointId endpoint = 10; endpoint < 20; ++endpoint)
+    fresh.push_back({endpoint, EndpointState::active, now - 1s});
+  health->onList(now, EndpointListKind::replace, fresh);
+  collectChanges();
+  EXPECT_EQ(health->activeCount(), 10u);
+  EXPECT_EQ(health->unreachableCount(), 0u);
+  for (EndpointId endpoint = 0; endpoint < 10; ++endpoint)
+    EXPECT_EQ(condition(endpoint), EndpointCondition::removed);
+  for (EndpointId endpoint = 10; endpoint < 20; ++endpoint) {
+    EXPECT_EQ(condition(endpoint), EndpointCondition::warmingUp);
+    EXPECT_EQ(reach.count(endpoint), 0u);
   }
-  pass(2s);
-  EXPECT_FALSE(beliefs->takeResyncRequest(now));
+  passTime(2s);
+  EXPECT_FALSE(health->takeResyncRequest(now));
 }
 
-TEST_F(MembershipTest, AListThatComesBackInThePastBringsNobodyBack) {
+// A list that is behind names old starts, and an endpoint that was removed. What was seen of the endpoints
+// stays.
+TEST_F(EndpointHealthTest, ListFromThePastMakesNothingReachable) {
   const Timestamp start = now - 1h;
   list(4, EndpointListKind::replace, start);
-  tell(0, EndpointState::active, now - 5s);  // it has started anew
+  update(0, EndpointState::active, now - 5s);  // it has restarted
   refused(0);
   refused(1);
   list(4, EndpointListKind::replace, start);  // as it was five seconds ago
-  EXPECT_EQ(standing(0), EndpointCondition::unreachable);
-  EXPECT_EQ(standing(1), EndpointCondition::unreachable);
+  EXPECT_EQ(condition(0), EndpointCondition::unreachable);
+  EXPECT_EQ(condition(1), EndpointCondition::unreachable);
   EXPECT_EQ(reach[0], Reachability::unreachable);
-  // A host that the old list revives is out again at its first refusal.
-  tell(2, EndpointState::removed);
+  // An endpoint that the old list brings back is unreachable again at its first refusal.
+  update(2, EndpointState::removed);
   list(4, EndpointListKind::replace, start);
-  EXPECT_EQ(standing(2), EndpointCondition::serving);
+  EXPECT_EQ(condition(2), EndpointCondition::serving);
   refused(2);
-  EXPECT_EQ(standing(2), EndpointCondition::unreachable);
+  EXPECT_EQ(condition(2), EndpointCondition::unreachable);
 }
 
-TEST_F(MembershipTest, ALaterStartOrAnotherAddressEndsWhatWasBelieved) {
+TEST_F(EndpointHealthTest, LaterStartOrAnotherAddressForgetsTheProcessBefore) {
   list(2, EndpointListKind::replace, now - 1h);
   refused(0);
   refused(1);
-  tell(0, EndpointState::active, now);
+  update(0, EndpointState::active, now);
   EXPECT_EQ(reach[0], Reachability::reachable);
-  EXPECT_EQ(standing(0), EndpointCondition::warmingUp);
-  beliefs->onAddressChanged(now, 1);
-  take();
+  EXPECT_EQ(condition(0), EndpointCondition::warmingUp);
+  health->onAddressChanged(now, 1);
+  collectChanges();
   EXPECT_EQ(reach[1], Reachability::reachable);
-  EXPECT_EQ(standing(1), EndpointCondition::serving);
+  EXPECT_EQ(condition(1), EndpointCondition::serving);
 }
 
-TEST_F(MembershipTest, AHostThatComesBackUnderANewIdStartsFromNothing) {
+// An unreachable endpoint is removed and its number is given to another one, which has no past.
+TEST_F(EndpointHealthTest, ForgottenNumberStartsFromNothing) {
   list(2);
   refused(1);
-  tell(1, EndpointState::removed);
-  beliefs->forget(1);
-  EXPECT_EQ(standing(1), EndpointCondition::removed);
-  tell(1, EndpointState::active, now);  // the number is given out anew
-  EXPECT_EQ(standing(1), EndpointCondition::warmingUp);
+  update(1, EndpointState::removed);
+  health->forget(1);
+  EXPECT_EQ(condition(1), EndpointCondition::removed);
+  update(1, EndpointState::active, now);  // the number is given out anew
+  EXPECT_EQ(condition(1), EndpointCondition::warmingUp);
   probes.clear();
-  pass(2s);
+  passTime(2s);
   EXPECT_EQ(probes[1], 0);
 }
 
-TEST_F(MembershipTest, TheListsAgeCountsFromDiscoverysLastWord) {
+TEST_F(EndpointHealthTest, AgeOfTheListCountsFromDiscoverysLastAnswer) {
   list(2, EndpointListKind::restored);
   now += 5s;
   list(0, EndpointListKind::update);
   now += 3s;
-  beliefs->onList(now, EndpointListKind::unavailable, {});
-  EXPECT_EQ(beliefs->listAge(now), 3s);
+  health->onList(now, EndpointListKind::unavailable, {});
+  EXPECT_EQ(health->listAge(now), 3s);
 }
 
-// --- Doubt ------------------------------------------------------------------------------------------------
+// --- Staleness of the list
+// ------------------------------------------------------------------------------------------------
 
-TEST_F(MembershipTest, AListThatNamesUnreachableHostsIsDoubtedAtOnceAndThenEverLater) {
+// The list keeps an endpoint that is unreachable for a minute. Resyncs are requested at growing pauses.
+TEST_F(EndpointHealthTest, UnreachableEndpointRequestsResyncsAtGrowingPauses) {
   list(10);
-  EXPECT_FALSE(beliefs->takeResyncRequest(now));
+  EXPECT_FALSE(health->takeResyncRequest(now));
   refused(0);
-  EXPECT_FALSE(beliefs->takeResyncRequest(now));
-  std::vector<Timestamp> asked;
-  pass(60s, [&] {
-    if (beliefs->takeResyncRequest(now)) asked.push_back(now);
+  EXPECT_FALSE(health->takeResyncRequest(now));
+  std::vector<Timestamp> requested;
+  passTime(60s, [&] {
+    if (health->takeResyncRequest(now)) requested.push_back(now);
     if (reach[0] != Reachability::probeOnly) return;
     refused(0);
     reach[0] = Reachability::unreachable;
   });
-  ASSERT_GE(asked.size(), 3u);
-  EXPECT_LE(asked.size(), 8u);
-  EXPECT_GE(asked[1] - asked[0], settings.resyncInitialBackoff * 3 / 4);
-  EXPECT_GE(asked[2] - asked[1], asked[1] - asked[0]);
+  ASSERT_GE(requested.size(), 3u);
+  EXPECT_LE(requested.size(), 8u);
+  EXPECT_GE(requested[1] - requested[0], settings.resyncInitialBackoff * 3 / 4);
+  EXPECT_GE(requested[2] - requested[1], requested[1] - requested[0]);
 }
 
-TEST_F(MembershipTest, AHostThatTurnsAllAwayMakesDoubtButAFleetThatDoesHasTooMuchWork) {
+// One endpoint of four rejects everything: it may be draining without the list's word. When all four do there
+// is too much work, and no resync is requested.
+TEST_F(EndpointHealthTest, OverloadedEndpointRequestsAResyncUnlessMostAreOverloaded) {
   list(4);
-  const auto turnAway = [&](EndpointId h) {
-    attempt(h, Outcome::overloaded, FailureReason::unknown, ConnectionUse::reused);
+  const auto reject = [&](EndpointId endpoint) {
+    attempt(endpoint, Outcome::overloaded, FailureReason::unknown, ConnectionUse::reused);
   };
-  for (int i = 0; i < 10; ++i) turnAway(0), now += 60ms;
-  EXPECT_EQ(standing(0), EndpointCondition::suspect);
+  for (int i = 0; i < 10; ++i) {
+    reject(0);
+    now += 60ms;
+  }
+  EXPECT_EQ(condition(0), EndpointCondition::suspect);
   EXPECT_EQ(reason(0), ConditionReason::overloaded);
-  EXPECT_TRUE(beliefs->takeResyncRequest(now));
+  EXPECT_TRUE(health->takeResyncRequest(now));
   now += 10s;
   attempt(0, Outcome::served);
-  EXPECT_EQ(standing(0), EndpointCondition::serving);
-  EXPECT_FALSE(beliefs->takeResyncRequest(now));
+  EXPECT_EQ(condition(0), EndpointCondition::serving);
+  EXPECT_FALSE(health->takeResyncRequest(now));
   for (int i = 0; i < 10; ++i) {
-    for (EndpointId h = 0; h < 4; ++h) turnAway(h);
+    for (EndpointId endpoint = 0; endpoint < 4; ++endpoint) reject(endpoint);
     now += 60ms;
   }
-  EXPECT_FALSE(beliefs->takeResyncRequest(now));
+  EXPECT_FALSE(health->takeResyncRequest(now));
 }
 
-TEST_F(MembershipTest, AQuestionThatWasNotAnsweredIsAskedAgainSooner) {
+TEST_F(EndpointHealthTest, FailedResyncIsRequestedAgainSooner) {
   list(3);
   refused(0);
-  std::vector<Timestamp> asked;
-  pass(8s, [&] {
-    if (!beliefs->takeResyncRequest(now)) return;
-    asked.push_back(now);
-    beliefs->onResyncFailed(now);
+  std::vector<Timestamp> requested;
+  passTime(8s, [&] {
+    if (!health->takeResyncRequest(now)) return;
+    requested.push_back(now);
+    health->onResyncFailed(now);
   });
-  ASSERT_GE(asked.size(), 6u);
-  EXPECT_LE(asked.size(), 9u);
+  ASSERT_GE(requested.size(), 6u);
+  EXPECT_LE(requested.size(), 9u);
 }
 
-TEST_F(MembershipTest, GatewaysThatSeeOneFailureDoNotAskInOneMoment) {
-  std::vector<Timestamp> asked;
-  for (const double spread : {0.1, 0.5, 0.9}) {
+TEST_F(EndpointHealthTest, GatewaysThatSeeOneFailureRequestResyncsApart) {
+  std::vector<Timestamp> requested;
+  for (const double jitter : {0.1, 0.5, 0.9}) {
     now = Timestamp(24h);
-    settings.jitter = spread;
-    beliefs = std::make_unique<EndpointHealth>(settings);
+    settings.jitter = jitter;
+    health = std::make_unique<EndpointHealth>(settings);
     list(3);
     refused(0);
     bool done = false;
-    pass(3s, [&] {
-      if (!done && beliefs->takeResyncRequest(now)) asked.push_back(now), done = true;
+    passTime(3s, [&] {
+      if (done || !health->takeResyncRequest(now)) return;
+      requested.push_back(now);
+      done = true;
     });
   }
-  ASSERT_EQ(asked.size(), 3u);
-  EXPECT_LT(asked[0], asked[1]);
-  EXPECT_LT(asked[1], asked[2]);
+  ASSERT_EQ(requested.size(), 3u);
+  EXPECT_LT(requested[0], requested[1]);
+  EXPECT_LT(requested[1], requested[2]);
 }
 
-// --- Of a fleet -------------------------------------------------------------------------------------------
+// --- Probing by other gateways
+// -------------------------------------------------------------------------------------------
 
-TEST_F(MembershipTest, AHostLeftToOthersIsNotTriedUntilTheirWordIsOldAndNeverForLong) {
+// Another gateway announces again and again that it probes an endpoint. This one does not probe it meanwhile,
+// but does so itself after the bound; a single announcement ends with its own term.
+TEST_F(EndpointHealthTest, DelegatedProbingEndsWithItsTermAndNeverLastsBeyondTheBound) {
   settings.jitter = 1;
-  beliefs = std::make_unique<EndpointHealth>(settings);
+  health = std::make_unique<EndpointHealth>(settings);
   list(2);
   attempt(0, Outcome::connectFailed, FailureReason::connectionRefused);
   const Timestamp out = now;
-  const auto wait = [&](policy::Duration time) {
-    for (const Timestamp end = now + time; now < end; now += 50ms) beliefs->onTick(now);
-    take();
+  const auto tickFor = [&](policy::Duration time) {
+    for (const Timestamp end = now + time; now < end; now += 50ms) health->onTick(now);
+    collectChanges();
   };
-  // Whatever is said, also on and on: after the bound it is tried by this gateway itself.
   while (probes[0] == 0 && now < out + 60s) {
-    beliefs->delegateProbing(now, 0, now + 5s);
-    wait(200ms);
+    health->delegateProbing(now, 0, now + 5s);
+    tickFor(200ms);
   }
   EXPECT_GE(now - out, settings.delegationMaxDuration);
   EXPECT_LE(now - out, settings.delegationMaxDuration + 1s);
   attempt(0, Outcome::connectFailed, FailureReason::connectionRefused);
-  beliefs->delegateProbing(now, 0, now + 1s);
-  wait(900ms);
+  health->delegateProbing(now, 0, now + 1s);
+  tickFor(900ms);
   EXPECT_EQ(probes[0], 1);
-  wait(2s);
-  EXPECT_EQ(probes[0], 2) << "their word is old";
+  tickFor(2s);
+  EXPECT_EQ(probes[0], 2) << "the delegation has ended";
 }
 
-TEST_F(MembershipTest, AHostFoundByOthersOpensColdUnlessItWasSeenOutLater) {
+// Another gateway reports that an endpoint accepts connections: first with a finding older than this
+// gateway's own failure, then with a newer one.
+TEST_F(EndpointHealthTest, RemoteProbeResultMakesReachableUnlessThisGatewaySawAFailureSince) {
   list(2);
   attempt(0, Outcome::connectFailed, FailureReason::connectionRefused);
   const Timestamp refused = now;
   now += 3s;
-  beliefs->onRemoteProbeResult(now, 0, 4s);
-  take();
+  health->onRemoteProbeResult(now, 0, 4s);
+  collectChanges();
   EXPECT_EQ(reach[0], Reachability::unreachable) << "found before it refused here";
-  beliefs->onRemoteProbeResult(now, 0, 1s);
-  take();
+  health->onRemoteProbeResult(now, 0, 1s);
+  collectChanges();
   EXPECT_EQ(reach[0], Reachability::reachable);
-  EXPECT_EQ(startedAfter[0], refused) << "a new process, by the cold rule";
-  beliefs->onRemoteProbeResult(now, 1, 0s);
-  beliefs->onRemoteProbeResult(now, 77, 0s);
-  EXPECT_TRUE(beliefs->takeChanges().empty()) << "one that is not out, and one that is not known";
+  EXPECT_EQ(startedAfter[0], refused) << "a new process";
+  health->onRemoteProbeResult(now, 1, 0s);
+  health->onRemoteProbeResult(now, 77, 0s);
+  EXPECT_TRUE(health->takeChanges().empty()) << "one that is reachable, and one that is unknown";
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/membership/list_staleness_test.cpp
@@ -0,0 +1,102 @@
+// When the list contradicts what is seen, and how requests for a resync are spaced.
+#include "membership/list_staleness.hpp"
+
+#include <gtest/gtest.h>
+
+#include <vector>
+
+namespace cairnjunction {
+namespace {
+
+using namespace std::chrono_literals;
+using policy::Timestamp;
+
+constexpr ListContradictions kNone{10, 0, 0};
+constexpr ListContradictions kOneUnreachable{10, 1, 0};
+
+class ListStalenessTest : public ::testing::Test {
+ public:
+  EndpointHealthSettings settings;
+  ListStaleness staleness{settings};  // a jitter of 0.5 draws each pause as it is set
+  Timestamp now{24h};
+
+  // Asks every 10 ms for so long; when a resync was requested.
+  std::vector<policy::Duration> requests(policy::Duration time, const ListContradictions& contradictions) {
+    std::vector<policy::Duration> requested;
+    for (const Timestamp start = now; now - start < time; now += 10ms)
+      if (staleness.takeResyncRequest(now, contradictions)) requested.push_back(now - start);
+    return requested;
+  }
+};
+
+TEST(ListContradictionsTest, OneUnreachableEndpointContradictsTheList) {
+  EXPECT_FALSE((ListContradictions{4, 0, 0}.any()));
+  EXPECT_TRUE((ListContradictions{4, 1, 0}.any()));
+  EXPECT_TRUE((ListContradictions{4, 1, 3}.any()));
+}
+
+TEST(ListContradictionsTest, OverloadedEndpointsContradictItUnlessMostAre) {
+  EXPECT_TRUE((ListContradictions{4, 0, 1}.any()));
+  EXPECT_TRUE((ListContradictions{4, 0, 2}.any()));
+  EXPECT_FALSE((ListContradictions{4, 0, 3}.any()));
+  EXPECT_FALSE((ListContradictions{1, 0, 1}.any()));
+}
+
+TEST_F(ListStalenessTest, NothingIsRequestedWithoutAContradiction) {
+  EXPECT_TRUE(requests(60s, kNone).empty());
+}
+
+TEST_F(ListStalenessTest, RequestsAreDoubledInPauseUpToEightTimesWhileAContradictionLasts) {
+  EXPECT_EQ(requests(50s, kOneUnreachable), (std::vector<policy::Duration>{0s, 2s, 6s, 14s, 30s, 46s}));
+}
+
+// A list with changes comes between the second and the third request. The pause that runs is kept, and the
+// next one is the first again.
+TEST_F(ListStalenessTest, ChangesOfTheListBeginTheSpacingAnew) {
+  EXPECT_EQ(requests(3s, kOneUnreachable), (std::vector<policy::Duration>{0s, 2s}));
+  staleness.onChanges();
+  EXPECT_EQ(requests(6s, kOneUnreachable), (std::vector<policy::Duration>{3s, 5s}));
+}
+
+// A contradiction comes and goes within the pause: it is not requested again each time it comes back.
+TEST_F(ListStalenessTest, ContradictionThatComesAndGoesKeepsItsPause) {
+  EXPECT_EQ(requests(1s, kOneUnreachable).size(), 1u);
+  EXPECT_TRUE(requests(500ms, kNone).empty());
+  EXPECT_EQ(requests(1s, kOneUnreachable), std::vector<policy::Duration>{500ms});
+}
+
+// A contradiction ends for longer than the pause: the next one is a new one, requested at once and after 2 s
+// again.
+TEST_F(ListStalenessTest, ContradictionAfterAQuietTimeIsANewOne) {
+  EXPECT_EQ(requests(7s, kOneUnreachable), (std::vector<policy::Duration>{0s, 2s, 6s}));
+  requests(20s, kNone);
+  EXPECT_EQ(requests(3s, kOneUnreachable), (std::vector<policy::Duration>{0s, 2s}));
+}
+
+// No resync is answered: each is requested again after a second, and the pause does not grow.
+TEST_F(ListStalenessTest, FailedResyncIsRequestedAgainSooner) {
+  std::vector<policy::Duration> requested;
+  for (const Timestamp start = now; now - start < 4500ms; now += 10ms) {
+    if (!staleness.takeResyncRequest(now, kOneUnreachable)) continue;
+    requested.push_back(now - start);
+    staleness.onResyncFailed(now);
+  }
+  EXPECT_EQ(requested, (std::vector<policy::Duration>{0s, 1s, 2s, 3s, 4s}));
+}
+
+TEST_F(ListStalenessTest, JitterSpreadsGateways) {
+  settings.jitter = 0;
+  const ListStaleness earliest(settings);
+  settings.jitter = 1;
+  const ListStaleness latest(settings);
+  EXPECT_EQ(earliest.staleAfter(), settings.staleAfter / 2);
+  EXPECT_EQ(latest.staleAfter(), settings.staleAfter * 3 / 2);
+}
+
+TEST_F(ListStalenessTest, AgeCountsFromTheLastAnswer) {
+  staleness.onAnswer(now);
+  EXPECT_EQ(staleness.age(now + 3s), 3s);
+}
+
+}  // namespace
+}  // namespace cairnjunction
