--- a/src/common/numeric.hpp
+++ b/src/common/numeric.hpp
@@ -1,12 +1,10 @@
-// Pure helpers on times, hashes and samples; the same on every machine.
+// Arithmetic on times, hashes and samples; the same on every machine.
 #pragma once
 
 #include <algorithm>
 #include <chrono>
 #include <cstddef>
 #include <cstdint>
-#include <optional>
-#include <string>
 #include <string_view>
 #include <vector>
 
@@ -14,32 +12,34 @@
 
 namespace cairnjunction::policy {
 
-inline double toSeconds(Duration d) { return std::chrono::duration<double>(d).count(); }
-inline Duration scaled(Duration d, double by) {
-  return Duration(static_cast<Duration::rep>(static_cast<double>(d.count()) * by));
-}
+inline double toSeconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
-inline std::uint64_t mix(std::uint64_t x) {  // splitmix64 finisher
-  x += 0x9e3779b97f4a7c15ULL;
-  x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
-  x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
-  return x ^ (x >> 31);
+// Rounded towards zero, to whole nanoseconds.
+inline Duration scaled(Duration duration, double factor) {
+  return Duration(static_cast<Duration::rep>(static_cast<double>(duration.count()) * factor));
 }
 
-inline std::uint64_t hashText(std::string_view text) {  // FNV-1a: the same at every gateway
-  std::uint64_t h = 0xcbf29ce484222325ULL;
-  for (unsigned char c : text) h = (h ^ c) * 0x100000001b3ULL;
-  return mix(h);
+// Spreads the bits of a number: the finisher of splitmix64.
+inline std::uint64_t mix(std::uint64_t bits) {
+  bits += 0x9e3779b97f4a7c15ULL;
+  bits = (bits ^ (bits >> 30U)) * 0xbf58476d1ce4e5b9ULL;
+  bits = (bits ^ (bits >> 27U)) * 0x94d049bb133111ebULL;
+  return bits ^ (bits >> 31U);
 }
 
-inline bool names(const std::optional<std::vector<std::string>>& list, const std::string& name) {
-  return !list || std::find(list->begin(), list->end(), name) != list->end();
+// FNV-1a, with its bits spread: the same at every gateway.
+inline std::uint64_t hashText(std::string_view text) {
+  std::uint64_t hash = 0xcbf29ce484222325ULL;
+  for (const char each : text) hash = (hash ^ static_cast<unsigned char>(each)) * 0x100000001b3ULL;
+  return mix(hash);
 }
 
-inline double quantile(std::vector<double>& v, double at, double none) {
-  if (v.empty()) return none;
-  const auto nth = v.begin() + static_cast<std::ptrdiff_t>(at * static_cast<double>(v.size() - 1));
-  std::nth_element(v.begin(), nth, v.end());
+// The value that a share `at`, 0 to 1, of the others lie below; `none` for an empty list. Reorders the
+// values.
+inline double quantile(std::vector<double>& values, double at, double none) {
+  if (values.empty()) return none;
+  const auto nth = values.begin() + static_cast<std::ptrdiff_t>(at * static_cast<double>(values.size() - 1));
+  std::nth_element(values.begin(), nth, values.end());
   return *nth;
 }
 
--- a/src/policy/endpoint_table.cpp
+++ b/src/policy/endpoint_table.cpp
@@ -13,6 +13,20 @@
 constexpr double kSubsetParts = 4;
 constexpr std::uint32_t kSubsetRound = 16;  // gateways dealt out over the pool at a time
 
+bool allows(const std::optional<std::vector<std::string>>& list, const std::string& name) {
+  return !list || std::find(list->begin(), list->end(), name) != list->end();
+}
+
+// By the classes' rules on placement.
+void allowClasses(Endpoint& endpoint, const ClassTable& classes) {
+  endpoint.allowedForClass.clear();
+  for (const ClassState& state : classes) {
+    const ClassSettings& settings = state.settings();
+    endpoint.allowedForClass.push_back(allows(settings.allowedZones, endpoint.info.zone) &&
+                                       allows(settings.allowedMachineKinds, endpoint.info.machineKind));
+  }
+}
+
 }  // namespace
 
 EndpointId EndpointTable::idOf(std::string_view address) const {
@@ -43,15 +57,6 @@
   return {it->second, restarted};
 }
 
-void EndpointTable::allowClasses(Endpoint& endpoint, const ClassTable& classes) {
-  endpoint.allowedForClass.clear();
-  for (const ClassState& state : classes) {
-    const ClassSettings& settings = state.settings();
-    endpoint.allowedForClass.push_back(names(settings.allowedZones, endpoint.info.zone) &&
-                                       names(settings.allowedMachineKinds, endpoint.info.machineKind));
-  }
-}
-
 std::size_t EndpointTable::machineKindNamed(const std::string& name) {
   const auto it = std::find_if(machineKinds_.begin(), machineKinds_.end(),
                                [&](const MachineKind& kind) { return kind.name == name; });
@@ -72,7 +77,7 @@
   });
   countReachable();
 
-  const double count = static_cast<double>(listed_.size());
+  const auto count = static_cast<double>(listed_.size());
   const double subset =
       settings_.keyAffinity ? count : kSubsetLeast + kSubsetParts * count / settings_.gatewayCount;
   subsetSize_ = static_cast<std::size_t>(std::min(count, subset));
--- a/src/policy/endpoint_table.hpp
+++ b/src/policy/endpoint_table.hpp
@@ -59,7 +59,6 @@
   std::vector<MachineKind>& machineKinds() { return machineKinds_; }
 
  private:
-  void allowClasses(Endpoint& endpoint, const ClassTable& classes);
   std::size_t machineKindNamed(const std::string& name);
   void countReachable();
 
--- a/src/policy/load_balancer_impl.cpp
+++ b/src/policy/load_balancer_impl.cpp
@@ -53,7 +53,7 @@
 void LoadBalancer::Impl::scheduleWake() {
   const auto nextTimer = timers_.nextAt([&](RequestRef ref) {
     const ActiveRequest* request = requests_.find(ref);
-    return !request || request->ended;
+    return request == nullptr || request->ended;
   });
   const Timestamp next = nextTimer ? std::min(nextUpdate_, *nextTimer) : nextUpdate_;
   const Timestamp at = std::max(next, now_ + Duration(1));
@@ -76,7 +76,8 @@
   settings.eventInterval = settings_.eventInterval;
   settings_ = std::move(settings);
   const std::uint32_t unknownBefore = classes_.unknownIndex();
-  endpoints_.reconfigure(classes_, classes_.reconfigure(settings_.classes));
+  const std::vector<std::size_t> origins = classes_.reconfigure(settings_.classes);
+  endpoints_.reconfigure(classes_, origins);
   requests_.forEach([&](ActiveRequest& request) {
     if (request.classIndex == unknownBefore) request.classIndex = classes_.unknownIndex();
   });
--- a/src/policy/responsiveness.cpp
+++ b/src/policy/responsiveness.cpp
@@ -27,7 +27,7 @@
     const double slowness = std::max(1.0, endpoint.latency.relativeLatency);
     const Duration limit =
         std::max(kSilenceLeast, scaled(std::chrono::seconds(1), kSilenceFactor * typicalLatency * slowness));
-    record.unresponsive = oldest && now - std::max(record.lastResponseAt, oldest->sentAt) > limit;
+    record.unresponsive = oldest != nullptr && now - std::max(record.lastResponseAt, oldest->sentAt) > limit;
   }
 }
 
