--- a/src/sim/adapter.hpp
+++ b/src/sim/adapter.hpp
@@ -1,67 +1,71 @@
-// The line protocol between the adapter and what drives it: parsing, printing and bookkeeping of ids.
-// No decision is made here.
+// The adapter to the simulator: reads batches of the wire's lines, passes them to the gateways that they
+// name, and puts together the replies. No decision is made here.
 #pragma once
 
 #include <array>
 #include <cstdint>
-#include <map>
 #include <memory>
 #include <ostream>
 #include <string>
 #include <string_view>
-#include <unordered_map>
 #include <vector>
 
 #include "cairnjunction/load_balancer.hpp"
+#include "sim/request_ids.hpp"
+#include "sim/sim_gateway.hpp"
 
 namespace cairnjunction::sim {
 
-// Hosts many gateways, each with a Balancer of its own. Feed it line by line.
+// Holds many gateways, each with a load balancer of its own, and the endpoint lists that they share. Lines
+// that cannot be read are skipped with a complaint.
 class Adapter {
  public:
+  // `complaints` must outlive the adapter.
   explicit Adapter(std::ostream& complaints);
-  ~Adapter();
 
   // Takes one line without its line end. When the line closes a batch, appends the reply to `reply` and
   // returns true.
   bool feed(std::string_view line, std::string& reply);
   bool insideBatch() const { return insideBatch_; }
+  // Of the line that was fed last, from 1.
   std::size_t lineNumber() const { return lineNumber_; }
 
  private:
-  struct Gateway;
-  struct TextHash {
-    using is_transparent = void;
-    std::size_t operator()(std::string_view s) const { return std::hash<std::string_view>{}(s); }
-  };
-  struct List {
+  struct EndpointList {
     bool known = false;
     std::vector<policy::EndpointInfo> entries;
   };
 
-  void event(std::string_view name, std::string_view rest);
-  void enlist(std::string_view rest);
-  void row(std::string_view rest);
-  void ledger(std::string_view rest);
-  void membership(Gateway& gateway, std::string_view rest);
-  void request(Gateway& gateway, std::string_view rest);
-  void settled(Gateway& gateway, std::string_view rest);
-  Gateway& gatewayOf(std::string_view rest);
-  void print(Gateway& gateway);
+  struct Instance {
+    std::unique_ptr<SimGateway> gateway;
+    bool touched = false;  // by an event of this batch
+  };
+
+  // Messages; the pairs are the line without its name. They throw BadLine.
+  void beginBatch(std::string_view pairs);
+  void endBatch(std::string& reply);
+  void onEvent(std::string_view name, std::string_view pairs);
+  void onEnlist(std::string_view pairs);
+  void onRetire(std::string_view pairs);
+  void onLedger(std::string_view pairs);
+  void onRow(std::string_view pairs);
+  void onMembership(std::string_view pairs);
+
+  // The gateway that the line names; it counts as touched.
+  SimGateway& gatewayOf(std::string_view pairs);
+  policy::Timestamp now() const { return policy::Timestamp(policy::Duration(clock_)); }
+  void remove(std::string_view name);
   void complain(std::string_view line, std::string_view cause);
 
   std::ostream& complaints_;
-  std::unordered_map<std::string, std::unique_ptr<Gateway>, TextHash, std::equal_to<>> gateways_;
-  std::vector<Gateway*> touched_;  // this batch, in order of their first event
-  std::array<List, 16> lists_;
-  std::size_t rowsDue_ = 0;
-  List* rowsInto_ = nullptr;
-  std::int64_t clock_ = 0;
+  TextMap<Instance> instances_;     // by name
+  std::vector<Instance*> touched_;  // in order of their first event in this batch: that of their replies
+  std::array<EndpointList, 16> lists_;
+  EndpointList* filling_ = nullptr;  // the one that rows go into
+  std::size_t rowsDue_ = 0;          // rows that it still lacks
+  std::int64_t clock_ = 0;           // nanoseconds; never goes back
   std::size_t lineNumber_ = 0;
   bool insideBatch_ = false;
 };
 
-// Reads the settings of an ENLIST line; unknown ones are skipped. Throws std::invalid_argument.
-policy::Settings readSettings(std::string_view pairs);
-
 }  // namespace cairnjunction::sim
--- a/tests/sim/adapter_test.cpp
+++ b/tests/sim/adapter_test.cpp
@@ -4,6 +4,8 @@
 
 #include <sstream>
 
+#include "sim/wire_settings.hpp"
+
 namespace cairnjunction::sim {
 namespace {
 
