--- /dev/null
+++ b/tests/policy/connect_backoff_test.cpp
@@ -0,0 +1,35 @@
+#include "policy/connect_backoff.hpp"
+
+#include <gtest/gtest.h>
+
+#include "pool.hpp"
+
+namespace cairnjunction::policy::testing {
+namespace {
+
+TEST(ConnectBackoff, RestsLongerWithEachFailureOnEnd) {
+  Pool pool(1);
+  Endpoint& endpoint = pool.endpoints[0];
+  for (const int expected : {1, 2, 4, 8, 8}) {
+    ConnectBackoff::recordFailure(endpoint, kStart, pool.random);
+    EXPECT_GE(endpoint.connections.connectAfter, kStart + milliseconds(500) * expected);
+    EXPECT_LE(endpoint.connections.connectAfter, kStart + milliseconds(1500) * expected);
+  }
+  EXPECT_FALSE(ConnectBackoff::mayConnect(endpoint, kStart));
+  ConnectBackoff::recordSuccess(endpoint);
+  ConnectBackoff::recordFailure(endpoint, kStart, pool.random);
+  EXPECT_LE(endpoint.connections.connectAfter, kStart + milliseconds(1500));
+  ConnectBackoff::allowNow(endpoint, kStart);
+  EXPECT_TRUE(ConnectBackoff::mayConnect(endpoint, kStart));
+}
+
+TEST(ConnectBackoff, WithoutDescriptorsNothingIsConnectedForAMoment) {
+  ConnectBackoff backoff;
+  EXPECT_TRUE(backoff.mayConnectAtAll(kStart));
+  backoff.recordNoDescriptor(kStart);
+  EXPECT_FALSE(backoff.mayConnectAtAll(kStart));
+  EXPECT_TRUE(backoff.mayConnectAtAll(kStart + milliseconds(20)));
+}
+
+}  // namespace
+}  // namespace cairnjunction::policy::testing
--- /dev/null
+++ b/tests/policy/endpoint_list_poller_test.cpp
@@ -0,0 +1,61 @@
+#include "policy/endpoint_list_poller.hpp"
+
+#include <gtest/gtest.h>
+
+#include "driver.hpp"
+
+namespace cairnjunction::policy::testing {
+namespace {
+
+constexpr Timestamp kStart{seconds(100)};
+
+Settings polling() {
+  Settings settings = makeSettings();
+  settings.pollDiscovery = true;
+  settings.maxPollInterval = seconds(10);
+  return settings;
+}
+
+TEST(EndpointListPoller, PollsOnceAndThenWaitsForUpdates) {
+  const Settings settings = polling();
+  EndpointListPoller poller(settings);
+  EXPECT_TRUE(poller.beginPollIfDue(kStart));
+  EXPECT_FALSE(poller.beginPollIfDue(kStart + seconds(1)));
+  poller.onList(EndpointListKind::replace, kStart + seconds(1));
+  EXPECT_FALSE(poller.beginPollIfDue(kStart + seconds(3600)));
+}
+
+TEST(EndpointListPoller, NeverPollsWhereListsComeByThemselves) {
+  const Settings settings = makeSettings();
+  EndpointListPoller poller(settings);
+  EXPECT_FALSE(poller.beginPollIfDue(kStart));
+}
+
+TEST(EndpointListPoller, BacksOffWithJitterUpToAFifthOfTheLongestSilence) {
+  const Settings settings = polling();
+  EndpointListPoller poller(settings);
+  Random random(1);
+  Timestamp now = kStart;
+  for (int failure = 0; failure < 20; ++failure) {
+    ASSERT_TRUE(poller.beginPollIfDue(now));
+    poller.onUnavailable(now, random);
+    const Timestamp failedAt = now;
+    while (!poller.beginPollIfDue(now)) now += milliseconds(10);
+    EXPECT_GE(now - failedAt, milliseconds(500));
+    EXPECT_LE(now - failedAt, milliseconds(3010));
+    poller.onUnavailable(now, random);
+    now += seconds(4);
+  }
+}
+
+// The answer to a poll was lost on the way. Without another poll this gateway would never have a list.
+TEST(EndpointListPoller, APollWithoutAnAnswerIsRepeated) {
+  const Settings settings = polling();
+  EndpointListPoller poller(settings);
+  EXPECT_TRUE(poller.beginPollIfDue(kStart));
+  EXPECT_FALSE(poller.beginPollIfDue(kStart + seconds(5)));
+  EXPECT_TRUE(poller.beginPollIfDue(kStart + seconds(6)));
+}
+
+}  // namespace
+}  // namespace cairnjunction::policy::testing
--- /dev/null
+++ b/tests/policy/pool.hpp
@@ -0,0 +1,67 @@
+// A pool of endpoints and what the objects of the decisions share, for their unit tests.
+#pragma once
+
+#include "driver.hpp"
+#include "policy/action_queue.hpp"
+#include "policy/endpoint_table.hpp"
+#include "policy/outlier_detection.hpp"
+#include "policy/random.hpp"
+#include "policy/request_table.hpp"
+#include "policy/traffic_rates.hpp"
+
+namespace cairnjunction::policy::testing {
+
+constexpr Timestamp kStart{seconds(100)};
+
+// Endpoints "host-100" on, all in service, in the order of their ids. Classes: read (0), write (1), put (2).
+struct Pool {
+  explicit Pool(int count, Settings wanted = makeSettings()) : settings(std::move(wanted)) {
+    for (int i = 0; i < count; ++i) add(makeHost(i));
+    endpoints.rebuildOrder();
+  }
+  Pool(const Pool&) = delete;
+  Pool& operator=(const Pool&) = delete;
+
+  EndpointId add(const EndpointInfo& info) {
+    const EndpointId id = endpoints.upsert(info, classes).id;
+    outliers.reset(endpoints[id]);
+    return id;
+  }
+  // Counts as many outcomes of class read at the endpoint.
+  void record(EndpointId id, Outcome outcome, int count, Timestamp now = kStart,
+              FailureReason reason = FailureReason::unknown) {
+    AttemptResult result;
+    result.outcome = outcome;
+    result.failureReason = reason;
+    for (int i = 0; i < count; ++i) outliers.recordOutcome(endpoints[id], 0, result, now);
+  }
+  ActiveRequest& open(std::uint32_t classIndex = 0) {
+    ActiveRequest& request = *requests.open(nextRequest++);
+    request.classIndex = classIndex;
+    request.deadline = kStart + seconds(1);
+    request.objectiveAt = kStart + milliseconds(400);
+    return request;
+  }
+  // Notes an attempt that was sent, as yet without its result.
+  void send(ActiveRequest& request, EndpointId id, Timestamp at = kStart) {
+    Attempt& attempt = request.attempts[request.attemptCount++];
+    attempt.endpoint = id;
+    attempt.sentAt = at;
+    attempt.inFlight = true;
+    attempt.mayHaveExecuted = true;
+    ++request.attemptsInFlight;
+    ++endpoints[id].inFlight;
+  }
+
+  Settings settings;
+  Random random{1};
+  ActionQueue actions;
+  TrafficRates rates;
+  ClassTable classes{settings.classes};
+  EndpointTable endpoints{settings};
+  RequestTable requests;
+  OutlierDetector outliers{endpoints, classes, random, actions};
+  RequestId nextRequest = 1;
+};
+
+}  // namespace cairnjunction::policy::testing
