--- a/src/policy/endpoint_record.hpp
+++ b/src/policy/endpoint_record.hpp
@@ -20,6 +20,7 @@
 // Of OutlierDetector.
 struct OutlierRecord {
   EjectionState state = EjectionState::healthy;
+  Timestamp restUntil{};  // after several overloads on end: nothing is sent before
   Timestamp ejectedUntil{};
   int ejections = 0;                      // on end, up to kEjectionDoublings
   double failureRate = 0;                 // share of failed attempts, over about the last eight
@@ -27,7 +28,6 @@
   double outcomes = 0;                    // decayed count of attempts that ran
   double errors = 0;                      // of those: failed or turned away
   int consecutiveOverloads = 0;
-  Timestamp restUntil{};  // after several overloads on end: nothing is sent before
 };
 
 // Of ResponsivenessMonitor.
@@ -64,23 +64,23 @@
   double selectionShare = 1;  // of its draws that it keeps; 0.05 to 1
 };
 
+// In the order in which picks read it: a pick looks at every endpoint of the subset.
 struct Endpoint {
-  EndpointInfo info;       // as last listed; without an address the id is free
-  std::uint64_t hash = 0;  // of the address: the same at every gateway
-  bool local = false;      // in this gateway's zone
+  EndpointInfo info;           // as last listed; without an address the id is free
+  Timestamp restartedAfter{};  // its process is no older than this, by what was seen of it
+  int inFlight = 0;            // attempts of this gateway
   Reachability reachability = Reachability::reachable;
-  Timestamp restartedAfter{};         // its process is no older than this, by what was seen of it
-  std::size_t machineKind = 0;        // into EndpointTable::machineKinds
-  std::vector<bool> allowedForClass;  // by class index: the class's placement allows this endpoint
-  int inFlight = 0;                   // attempts of this gateway
-  int references = 0;                 // by attempts of open requests, settled ones included
-
+  bool local = false;  // in this gateway's zone
   OutlierRecord outlier;
   ResponsivenessRecord responsiveness;
   LatencyRecord latency;
   ConnectionRecord connections;
-  SlowStartRecord slowStart;
   LoadRecord loadReport;
+  SlowStartRecord slowStart;
+  std::vector<bool> allowedForClass;  // by class index: the class's placement allows this endpoint
+  std::uint64_t hash = 0;             // of the address: the same at every gateway
+  std::size_t machineKind = 0;        // into EndpointTable::machineKinds
+  int references = 0;                 // by attempts of open requests, settled ones included
 
   // Whether it counts towards the load and the errors of the pool: one that is in trouble of its own must
   // not.
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -10,16 +10,12 @@
 
 constexpr int kOverloadsOnEnd = 3;  // this many are no short peak: the endpoint rests
 constexpr Duration kOverloadRest = std::chrono::milliseconds(100);  // a few answer times without load
-constexpr double kFailureGain = 0.12;       // per outcome: five failures on end make one half
-constexpr double kEjectFailureRate = 0.45;  // ejects,
-constexpr double kEjectOverPeers =
-    2.5;  // if it is also this many times that of the better quarter of the pool
+constexpr double kFailureGain = 0.12;          // per outcome: five failures on end make one half
+constexpr double kEjectFailureRate = 0.45;     // ejects,
+constexpr double kEjectOverPeers = 2.5;        // if it is also so many times that of the better quarter
 constexpr double kWellFailureRate = 0.05;      // below it, ejections on end are forgotten after a while
 constexpr double kClassAtEndpointGain = 0.25;  // per outcome of a class: three failures on end make a half
-constexpr double kClassFailuresOverPeers =
-    1.5;                                    // times what its peers fail: noise in a trouble of all endpoints
-constexpr double kClassWeightLeast = 0.03;  // so that some are still sent, which tell when it is well again
-constexpr double kEjectedShareMost = 0.5;   // of the reachable endpoints
+constexpr double kEjectedShareMost = 0.5;      // of the reachable endpoints
 constexpr Duration kEjection = std::chrono::seconds(1);  // doubled with each ejection on end,
 constexpr int kEjectionDoublings = 3;                    // up to so often
 
@@ -34,12 +30,6 @@
   return endpoint.outlier.consecutiveOverloads >= kOverloadsOnEnd;
 }
 
-double OutlierDetector::classSuccessWeight(const Endpoint& endpoint, std::uint32_t classIndex) const {
-  const double ofPeers = kClassFailuresOverPeers * classes_[classIndex].failureRate();
-  const double success = 1 - std::max(endpoint.outlier.classFailureRates[classIndex] - ofPeers, 0.0);
-  return std::max(success * success * success, kClassWeightLeast);
-}
-
 void OutlierDetector::recordOutcome(Endpoint& endpoint, std::uint32_t classIndex, const AttemptResult& result,
                                     Timestamp now) {
   OutlierRecord& record = endpoint.outlier;
--- a/src/policy/outlier_detection.hpp
+++ b/src/policy/outlier_detection.hpp
@@ -1,6 +1,8 @@
 // Outlier detection: endpoints that fail more than their peers are ejected for a while.
 #pragma once
 
+#include <algorithm>
+
 #include "policy/action_queue.hpp"
 #include "policy/endpoint_table.hpp"
 #include "policy/random.hpp"
@@ -28,7 +30,11 @@
   // Part of its draws that an endpoint keeps for a class: from 1 down as it fails the class more than its
   // peers do. An endpoint may fail one class and serve the others, which its failure rate over all would
   // hide.
-  double classSuccessWeight(const Endpoint& endpoint, std::uint32_t classIndex) const;
+  double classSuccessWeight(const Endpoint& endpoint, std::uint32_t classIndex) const {
+    const double ofPeers = kClassFailuresOverPeers * classes_[classIndex].failureRate();
+    const double success = 1 - std::max(endpoint.outlier.classFailureRates[classIndex] - ofPeers, 0.0);
+    return std::max(success * success * success, kClassWeightLeast);
+  }
 
   // The endpoint has a new process.
   void reset(Endpoint& endpoint) const;
@@ -36,6 +42,11 @@
   void update(const TrafficRates& rates, Timestamp now);
 
  private:
+  // Times what its peers fail: more than noise in a trouble of all endpoints.
+  static constexpr double kClassFailuresOverPeers = 1.5;
+  // So that some requests are still sent, which tell when it is well again.
+  static constexpr double kClassWeightLeast = 0.03;
+
   void eject(Endpoint& endpoint, const char* cause, Timestamp now);
   void endProbation(Endpoint& endpoint, bool failed, Timestamp now);
 
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -13,8 +13,7 @@
 
 }  // namespace
 
-bool RetryPolicy::mayRunAt(const ActiveRequest& request, const Endpoint& endpoint, Timestamp now) const {
-  if (!endpoint.allowedForClass[request.classIndex]) return false;
+bool RetryPolicy::mayRepeatAt(const ActiveRequest& request, const Endpoint& endpoint, Timestamp now) const {
   const ClassSettings& settings = classes_[request.classIndex].settings();
   if (settings.idempotency == Idempotency::safe) return true;
   for (std::uint32_t i = 0; i < request.attemptCount; ++i) {
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -17,7 +17,10 @@
   // Whether the endpoint may be sent an attempt: the class's placement allows it, and either no earlier
   // attempt may have executed, or repeats do no harm there (safe classes), or the endpoint drops repeats of
   // them (keyed classes: within the scope and the window of the deduplication).
-  bool mayRunAt(const ActiveRequest& request, const Endpoint& endpoint, Timestamp now) const;
+  bool mayRunAt(const ActiveRequest& request, const Endpoint& endpoint, Timestamp now) const {
+    if (!endpoint.allowedForClass[request.classIndex]) return false;
+    return request.attemptCount == 0 || mayRepeatAt(request, endpoint, now);
+  }
 
   // Whether the request has had all the attempts that it may have.
   bool isExhausted(const ActiveRequest& request) const;
@@ -37,6 +40,8 @@
   Duration retryAfter(const ActiveRequest& request, Random& random) const;
 
  private:
+  bool mayRepeatAt(const ActiveRequest& request, const Endpoint& endpoint, Timestamp now) const;
+
   const Settings& settings_;
   const ClassTable& classes_;
   const EndpointTable& endpoints_;
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -13,18 +13,8 @@
 constexpr double kProvenDecay = 0.997;
 constexpr double kCollapseMargin = 0.45;  // load in slow start, as a part of the multiple that breaks it down
 
-// The latest start that is known of.
-Timestamp startOf(const Endpoint& endpoint) {
-  return std::max(endpoint.info.startedAt, endpoint.restartedAfter);
-}
-
 }  // namespace
 
-bool SlowStart::isActive(const Endpoint& endpoint, Timestamp now) const {
-  const Timestamp start = startOf(endpoint);
-  return start > Timestamp{} && now - start < settings_.slowStartDuration;
-}
-
 double SlowStart::capacityFraction(const Endpoint& endpoint, Timestamp now) const {
   if (!isActive(endpoint, now)) return 1;
   const double initial = settings_.slowStartInitialFraction;
@@ -32,8 +22,7 @@
          (1 - initial) * toSeconds(now - startOf(endpoint)) / toSeconds(settings_.slowStartDuration);
 }
 
-bool SlowStart::mayAdmit(Endpoint& endpoint, const EndpointTable& endpoints, Timestamp now) const {
-  if (!isActive(endpoint, now)) return true;
+double SlowStart::refill(Endpoint& endpoint, const EndpointTable& endpoints, Timestamp now) const {
   const double window = std::max(toSeconds(settings_.collapseWindow), 0.1);
   // Where none of its kind past slow start was seen, e.g. after a start of our own: an even share of the
   // requests.
@@ -48,7 +37,7 @@
   bucket.tokens =
       std::min(bucket.tokens + rate * toSeconds(now - bucket.refilledAt), std::max(1.0, rate * window / 4));
   bucket.refilledAt = now;
-  return bucket.tokens >= 1;
+  return bucket.tokens;
 }
 
 void SlowStart::recordSend(Endpoint& endpoint, Timestamp now) const {
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -1,6 +1,8 @@
 // Slow start: how much an endpoint that has just started may be sent, by all gateways together.
 #pragma once
 
+#include <algorithm>
+
 #include "policy/endpoint_table.hpp"
 #include "policy/random.hpp"
 #include "policy/traffic_rates.hpp"
@@ -16,12 +18,17 @@
   // Both must outlive this object.
   SlowStart(const Settings& settings, const TrafficRates& rates) : settings_(settings), rates_(rates) {}
 
-  bool isActive(const Endpoint& endpoint, Timestamp now) const;
+  bool isActive(const Endpoint& endpoint, Timestamp now) const {
+    const Timestamp start = startOf(endpoint);
+    return start > Timestamp{} && now - start < settings_.slowStartDuration;
+  }
   // Share of its capacity that the endpoint has: rises from slowStartInitialFraction to 1.
   double capacityFraction(const Endpoint& endpoint, Timestamp now) const;
 
   // Refills the endpoint's bucket and returns whether it may be sent an attempt.
-  bool mayAdmit(Endpoint& endpoint, const EndpointTable& endpoints, Timestamp now) const;
+  bool mayAdmit(Endpoint& endpoint, const EndpointTable& endpoints, Timestamp now) const {
+    return !isActive(endpoint, now) || refill(endpoint, endpoints, now) >= 1;
+  }
   // Notes that an attempt is sent.
   void recordSend(Endpoint& endpoint, Timestamp now) const;
   // The endpoint has a new process. Its bucket starts at a drawn level: otherwise a first request from every
@@ -33,6 +40,13 @@
   void update(EndpointTable& endpoints, Timestamp now) const;
 
  private:
+  // The latest start that is known of.
+  static Timestamp startOf(const Endpoint& endpoint) {
+    return std::max(endpoint.info.startedAt, endpoint.restartedAfter);
+  }
+  // Returns the tokens.
+  double refill(Endpoint& endpoint, const EndpointTable& endpoints, Timestamp now) const;
+
   const Settings& settings_;
   const TrafficRates& rates_;
 };
--- a/src/sim/adapter_main.cpp
+++ b/src/sim/adapter_main.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t kReadSize = 64 * 1024;  // bytes
+constexpr std::size_t kReadSize = 65536;  // bytes
 
 // Returns false if standard output is closed.
 bool writeAll(const std::string& text) {
