--- a/tools/ci/clang_tidy.sh
+++ b/tools/ci/clang_tidy.sh
@@ -10,7 +10,7 @@
 shift
 
 # Held to it: a folder comes in once nothing is found in it.
-checked="src/admin src/limits src/pools src/toml"
+checked="include src/admin src/common src/limits src/policy src/pools src/sim src/toml"
 
 [ -f "$build/compile_commands.json" ] || { echo "$build/compile_commands.json is missing" >&2; exit 2; }
 all=0
