--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,4 +1,5 @@
-// What the gateway is told, at its start and by SIGHUP: GW_* variables and the JSON file, as typed settings.
+// The configuration of the gateway, read at its start and by SIGHUP: GW_* variables and a JSON file, as typed
+// settings.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -7,52 +8,44 @@
 #include <functional>
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
-#include <stdexcept>
 #include <string>
-#include <string_view>
-#include <vector>
 
 #include "cairnjunction/load_balancer.hpp"
+#include "config/bad_config.hpp"
+#include "config/config_shape.hpp"
 #include "discovery/endpoint_list.hpp"
 
 namespace cairnjunction {
 
 using tcp = boost::asio::ip::tcp;
 
-struct BadConfig : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
-
-// The keys of a file's objects, as paths with '/' between them, in order, and of its classes those that all
-// of them have. Without what may come and go: the known hosts and the seed.
-using ConfigShape = std::vector<std::string>;
-
 struct Config {
-  std::string name;
-  tcp::endpoint listen, discovery;
-  std::optional<tcp::endpoint> mgmt;  // the operators' door; absent: none
-  int acceptFd = -1;                  // of the clients' listener, if it was inherited
-  std::size_t sockets = 1024;         // file descriptors that the process may hold
+  std::string name;                   // of this gateway; may be empty
+  tcp::endpoint listen;               // for clients
+  tcp::endpoint discovery;            // where lists of endpoints come from
+  std::optional<tcp::endpoint> mgmt;  // of the admin server; absent: none
+  int acceptFd = -1;                  // the clients' listener, if it was inherited; else -1
+  std::size_t sockets = 1024;         // file descriptors that the process may hold; at least 64
   std::size_t memoryMb = 192;         // beyond it the process is killed
-  policy::Duration connectTimeout{};  // for a new connection to a host
-  policy::Settings module;            // for the decisions
-  std::optional<EndpointList> known;  // hosts as last had; may be old
+  policy::Duration connectTimeout{};  // for a new connection to an endpoint
+  policy::Settings module;            // of the decision module, which has accepted them
+  std::optional<EndpointList> known;  // the list as last held; may be old
   ConfigShape shape;                  // of the file
 };
 
 using Environment = std::function<const char*(const char*)>;  // as getenv
 
-// At a start the variables go before the file's entries. A running process keeps the variables that it was
-// started with, so when the file is read again, what stands in it is the newer word.
-enum class Reading { atStart, again };
-
-// Throws BadConfig that names a key of the file in force which the next one lacks: it would fall back to a
-// default that nobody wrote.
-void requireShape(const ConfigShape& inForce, const ConfigShape& next);
+// Which of a variable and the file's entry counts.
+enum class Reading {
+  atStart,  // the variable, if it is set
+  again  // the file's entry, if it is there: a running process keeps the variables that it was started with,
+         // so the file is the newer word
+};
 
-// Both throw BadConfig with one line that says what is wrong.
+// Reads the file that GW_CONFIG names. Throws BadConfig.
 Config readConfig(const Environment& environment, Reading reading = Reading::atStart);
-Config parseConfig(const nlohmann::json& json, const Environment& environment,
+// Reads a file's content. Throws BadConfig.
+Config parseConfig(const nlohmann::json& document, const Environment& environment,
                    Reading reading = Reading::atStart);
 
 }  // namespace cairnjunction
--- a/src/config/routes_file.cpp
+++ b/src/config/routes_file.cpp
@@ -12,7 +12,7 @@
 route::Routes readRoutes(const std::string& path) {
   std::ifstream file(path, std::ios::binary | std::ios::ate);
   if (!file) throw route::BadRoutes(path + ": can't be read");
-  if (file.tellg() > static_cast<std::streamoff>(kRoutesFileMost))
+  if (file.tellg() > static_cast<std::streamoff>(kMaxRoutesFileBytes))
     throw route::BadRoutes(path + ": larger than 256 MiB");
   file.seekg(0);
   const nlohmann::json parsed = nlohmann::json::parse(file, nullptr, false);
--- a/src/config/routes_file.hpp
+++ b/src/config/routes_file.hpp
@@ -1,4 +1,4 @@
-// Routes from a file.
+// The routes file.
 #pragma once
 
 #include <cstddef>
@@ -8,9 +8,9 @@
 
 namespace cairnjunction {
 
-inline constexpr std::size_t kRoutesFileMost = 256 << 20;  // bytes: some 300 for a location
+inline constexpr std::size_t kMaxRoutesFileBytes = 256 << 20;  // bytes: some 300 for a location
 
-// Throws route::BadRoutes, whose text begins with the path.
+// Reads and checks the routes. Throws route::BadRoutes, whose text begins with the path.
 route::Routes readRoutes(const std::string& path);
 
 }  // namespace cairnjunction
