--- a/tools/ci/clang_tidy.sh
+++ b/tools/ci/clang_tidy.sh
@@ -15,13 +15,25 @@
 src/admin
 src/common
 src/config
+src/core
 src/discovery
+src/http/request_writer.cpp
+src/http/response_reader.cpp
+src/http/upstream.cpp
+src/http/upstream_connection.cpp
+src/http/upstream_pool.cpp
+src/jsonrpc/send_buffer.cpp
+src/jsonrpc/upstream.cpp
+src/jsonrpc/upstream_connection.cpp
+src/jsonrpc/upstream_pool.cpp
+src/jsonrpc/worker_protocol.cpp
 src/limits
 src/membership
 src/policy
 src/pools
 src/sim
 src/toml
+src/upstream
 "
 
 [ -f "$build/compile_commands.json" ] || { echo "$build/compile_commands.json is missing" >&2; exit 2; }
