--- a/src/app/fleet_endpoint_lists.cpp
+++ b/src/app/fleet_endpoint_lists.cpp
@@ -77,7 +77,7 @@
     return discovery_.watch();
   }
   if (const auto at = asking_.pollsAt()) {
-    timer_.expires_after(std::max(*at - bootTime(), lease::Time(1)));
+    timer_.expires_after(std::max(*at - bootTime(), lease::Duration(1)));
     timer_.async_wait(lifetime_.guard([this](error_code ec) {
       if (!ec) decide();
     }));
--- a/src/app/fleet_endpoint_lists.hpp
+++ b/src/app/fleet_endpoint_lists.hpp
@@ -25,7 +25,7 @@
 class FleetEndpointLists {
  public:
   // An owner whose calls on discovery fail for so long gives the duty to another one.
-  static constexpr lease::Time kFailMost{5000};
+  static constexpr lease::Duration kFailMost{5000};
 
   // `source` is the discovery that this gateway is configured with; `known` the hosts it has. Where lists are
   // `pushed` each gateway watches an agent of its own, whoever owns the list. `told` is given whole lists,
@@ -65,7 +65,7 @@
   std::string source_;
   const bool pushed_;
   bool watching_ = false;  // discovery was asked and has not been told to stop
-  std::optional<lease::Time> failingSince_;
+  std::optional<lease::BootTime> failingSince_;
   std::uint64_t taken_ = 0, passedOver_ = 0, handed_ = 0;
   boost::asio::steady_timer timer_;
   std::mt19937_64 random_{std::random_device{}()};
--- a/src/app/fleet_probing.cpp
+++ b/src/app/fleet_probing.cpp
@@ -25,7 +25,7 @@
 }
 
 void FleetProbing::turn() {
-  const lease::Time now = bootTime();
+  const lease::BootTime now = bootTime();
   const bool together = member_.hasJoined() && !member_.isIsolated();
   std::map<std::uint32_t, json> rows;  // by shard: what to say
   std::set<std::uint32_t> due;
@@ -34,7 +34,7 @@
     if (row.is_null()) row = {{"out", json::array()}, {"up", json::array()}};
     return row;
   };
-  std::map<std::string, lease::Time> outHere;
+  std::map<std::string, lease::BootTime> outHere;
   for (const policy::EndpointId out : engine_.endpointHealth().unreachableEndpoints()) {
     const std::string uid = engine_.loadBalancer().address(out);
     const std::uint32_t shard = shardOf(uid);
@@ -48,9 +48,9 @@
     // From now by the module's clock: until the owner's word is stale, or it has had its time for a first
     // one.
     const auto heard = heardOut_.find(uid);
-    const lease::Time first = outHere_.count(uid) ? outHere_[uid] : now;
+    const lease::BootTime first = outHere_.count(uid) ? outHere_[uid] : now;
     outHere[uid] = first;
-    const lease::Time until = heard == heardOut_.end() ? first + kFirst : heard->second + kFresh;
+    const lease::BootTime until = heard == heardOut_.end() ? first + kFirst : heard->second + kFresh;
     if (until <= now) continue;
     engine_.delegateProbing(out, engine_.now() + (until - now));
     ++left_;
@@ -69,8 +69,8 @@
     it = over ? found_.erase(it) : std::next(it);
   }
   for (const auto& [shard, row] : rows) {
-    lease::Time& told = toldAt_[shard];
-    if (!due.count(shard) && told > lease::Time{} && now < told + kTell) continue;
+    lease::BootTime& told = toldAt_[shard];
+    if (!due.count(shard) && told > lease::BootTime{} && now < told + kTell) continue;
     if (!word_({kProbeDuty, shard}, row.dump())) continue;
     told = now;
     for (const json& up : row["up"]) --found_[up["uid"].get<std::string>()].repeats;
@@ -86,7 +86,7 @@
   if (order.token.key.task != kProbeDuty || order.token.holder == member_.self()) return;
   const json body = json::parse(order.body, nullptr, false);
   if (!body.is_object()) return;
-  const lease::Time now = bootTime();
+  const lease::BootTime now = bootTime();
   for (const json& uid : body.value("out", json::array()))
     if (uid.is_string() && heardOut_.size() < kHostsMost) heardOut_[uid.get<std::string>()] = now;
   for (const json& up : body.value("up", json::array())) {
--- a/src/app/fleet_probing.hpp
+++ b/src/app/fleet_probing.hpp
@@ -21,11 +21,11 @@
 
 class FleetProbing {
  public:
-  static constexpr lease::Time kTurn{200};   // between two looks at what is out,
-  static constexpr lease::Time kTell{1000};  // and between an owner's words; a finding is told at once
-  static constexpr lease::Time kFirst{
+  static constexpr lease::Duration kTurn{200};   // between two looks at what is out,
+  static constexpr lease::Duration kTell{1000};  // and between an owner's words; a finding is told at once
+  static constexpr lease::Duration kFirst{
       1500};  // so long an owner has to speak of a host that has just gone out,
-  static constexpr lease::Time kFresh{2500};  // and so long its word holds
+  static constexpr lease::Duration kFresh{2500};  // and so long its word holds
   static constexpr int kRepeats = 3;  // a finding is told so often: an order may be lost with its link
   static constexpr std::size_t kHostsMost = 4096;  // told of, over all shards
 
@@ -48,14 +48,14 @@
   const fleet::Member& member_;
   const std::uint32_t shards_;
   std::function<bool(const lease::LeaseKey&, std::string)> word_;
-  std::map<std::string, lease::Time> heardOut_;  // by an owner, of hosts that are out: when
-  std::map<std::string, lease::Time> outHere_;   // hosts of own shards that were out at the last turn
+  std::map<std::string, lease::BootTime> heardOut_;  // by an owner, of hosts that are out: when
+  std::map<std::string, lease::BootTime> outHere_;   // hosts of own shards that were out at the last turn
   struct Found {
-    lease::Time at{};
+    lease::BootTime at{};
     int repeats = 0;
   };
-  std::map<std::string, Found> found_;           // and are no more
-  std::map<std::uint32_t, lease::Time> toldAt_;  // by shard
+  std::map<std::string, Found> found_;               // and are no more
+  std::map<std::uint32_t, lease::BootTime> toldAt_;  // by shard
   std::uint64_t left_ = 0;
   CallbackGuard lifetime_;
 };
--- a/src/fleet/boot_clock.hpp
+++ b/src/fleet/boot_clock.hpp
@@ -7,11 +7,11 @@
 
 namespace cairnjunction::fleet {
 
-inline lease::Time bootTime() {
+inline lease::BootTime bootTime() {
   timespec now{};
   ::clock_gettime(CLOCK_BOOTTIME, &now);
-  return std::chrono::duration_cast<lease::Time>(std::chrono::seconds(now.tv_sec) +
-                                                 std::chrono::nanoseconds(now.tv_nsec));
+  return lease::BootTime(std::chrono::duration_cast<lease::Duration>(std::chrono::seconds(now.tv_sec) +
+                                                                     std::chrono::nanoseconds(now.tv_nsec)));
 }
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/coordinator.cpp
+++ b/src/fleet/coordinator.cpp
@@ -11,13 +11,12 @@
 
 using boost::asio::ip::tcp;
 using boost::system::error_code;
-using lease::Time;
 using nlohmann::json;
 
 // How often the leader looks for what is free: the part of "without an owner" that is up to it.
 constexpr std::chrono::milliseconds kTurn{25};
 // A key is moved to a member that owns less only so often: each move is a moment without an owner.
-constexpr Time kSpreadEvery{1000};
+constexpr lease::Duration kSpreadEvery{1000};
 constexpr std::chrono::milliseconds kAcceptAgain{100};
 
 }  // namespace
@@ -35,7 +34,7 @@
   lease::Member member;  // no name: not greeted yet
   std::string zone;
   bool willing = false, joined = false, gone = false;
-  std::optional<std::int64_t> stamp;  // of its last beat
+  std::optional<lease::BootTime> stamp;  // of its last beat
 };
 
 Coordinator::Coordinator(boost::asio::io_context& io, const Settings& settings, int number,
@@ -196,7 +195,7 @@
   if (beat.held.empty())
     return session->link->send(HeartbeatResponse{static_cast<std::uint32_t>(members_.size()), {}, {}});
   // By lease: one renewal on the log for all keys that have the same.
-  std::map<Time, std::vector<lease::LeasesRenewed::Held>> byLease;
+  std::map<lease::Duration, std::vector<lease::LeasesRenewed::Held>> byLease;
   std::vector<std::pair<lease::LeaseKey, lease::Epoch>> strange;
   for (const auto& held : beat.held) {
     if (const lease::TaskSpec* spec = settings_.taskSpec(held.key.task))
@@ -214,7 +213,7 @@
           for (const auto& h : held) {
             const bool kept = std::any_of(outcome.held.begin(), outcome.held.end(),
                                           [&](const auto& o) { return o.key == h.key; });
-            if (kept) pulse.granted.push_back({h.key, h.epoch, h.sequence, stamp, lease.count()});
+            if (kept) pulse.granted.push_back({h.key, h.epoch, h.sequence, stamp, lease});
             else pulse.lost.emplace_back(h.key, h.epoch);
           }
           session->link->send(pulse);
@@ -258,7 +257,7 @@
     if (!session || !granting_.insert(grant.key).second) continue;
     // Danger: the stamp that the keeper has read before it grants, not one that comes while the log is
     // written.
-    const std::int64_t askedAt = *session->stamp;
+    const lease::BootTime askedAt = *session->stamp;
     const lease::LeaseRecord* before = machine_.registry().find(grant.key);
     const auto why = !before                        ? lease::LeaseChangeReason::vacant
                      : !before->holder.name.empty() ? lease::LeaseChangeReason::expired
@@ -274,7 +273,7 @@
       journal_.line("granted", fields);
       if (session->gone) return;
       HeartbeatResponse pulse{static_cast<std::uint32_t>(members_.size()), {}, {}};
-      pulse.granted.push_back({grant.key, outcome.held[0].epoch, 0, askedAt, grant.leaseDuration.count()});
+      pulse.granted.push_back({grant.key, outcome.held[0].epoch, 0, askedAt, grant.leaseDuration});
       session->link->send(pulse);
     });
   }
@@ -336,7 +335,7 @@
 
 // --- The lead ---------------------------------------------------------------------------------------------
 
-Time Coordinator::logNow() const { return base_ + (bootTime() - baseAt_); }
+lease::LogTime Coordinator::logNow() const { return base_ + (bootTime() - baseAt_); }
 
 void Coordinator::leadChanged() {
   if (stopping_ || isLeader() == leading_) return;
@@ -397,7 +396,7 @@
 json Coordinator::leases() const {
   json rows = json::array();
   // A keeper that does not lead has no count of the log's time of its own: what it says is of the last entry.
-  const Time now = isLeader() ? logNow() : machine_.registry().now();
+  const lease::LogTime now = isLeader() ? logNow() : machine_.registry().now();
   for (const auto& [key, holding] : machine_.registry().holdings()) {
     const bool held = holding.heldAt(now);
     json row = fieldsOf(key);
--- a/src/fleet/coordinator.hpp
+++ b/src/fleet/coordinator.hpp
@@ -87,7 +87,7 @@
   void grantWhatIsFree();
   void spread();
   void propose(lease::Change change, std::function<void(const lease::ApplyResult&)> done);
-  lease::Time logNow() const;
+  lease::LogTime logNow() const;
   SessionPtr sessionOf(const lease::Member& member) const;
 
   boost::asio::io_context& io_;
@@ -105,7 +105,9 @@
   std::map<lease::LeaseKey, Kept> kept_;
   std::size_t keptBytes_ = 0;
   bool leading_ = false, stopping_ = false;
-  lease::Time base_{}, baseAt_{}, spreadAt_{};  // the log's time when it began to lead, and its clock then
+  lease::LogTime base_{};      // when it began to lead,
+  lease::BootTime baseAt_{};   // and its clock then
+  lease::LogTime spreadAt_{};  // no key is moved before
   std::uint64_t orders_ = 0, turnedAway_ = 0;
   CallbackGuard lifetime_;
 };
--- a/src/fleet/endpoint_list_filter.hpp
+++ b/src/fleet/endpoint_list_filter.hpp
@@ -68,24 +68,26 @@
 
   void onLeaseChange(bool owner) { owner_ = owner; }
   // `draw`: from 0 to 1, another one at each member.
-  void onIsolationChange(bool alone, lease::Time now, std::uint32_t members, bool hasList, double draw) {
+  void onIsolationChange(bool alone, lease::BootTime now, std::uint32_t members, bool hasList, double draw) {
     if (!alone) return at_.reset();
     const double seconds = draw * members / kCallsASecond / (hasList ? 1 : kHurry);
-    at_ = now + lease::Time(static_cast<std::int64_t>(seconds * 1000));
+    at_ = now + lease::Duration(static_cast<std::int64_t>(seconds * 1000));
   }
   // A list was no newer than what is held: nobody tells it anything.
-  void onListRejected(lease::Time now, std::uint32_t members, double draw) {
+  void onListRejected(lease::BootTime now, std::uint32_t members, double draw) {
     if (!at_) onIsolationChange(true, now, members, true, draw);
   }
   void onListAccepted(bool alone) {
     if (!alone) at_.reset();
   }
-  bool shouldPoll(lease::Time now) const { return owner_ || (at_ && now >= *at_); }
-  std::optional<lease::Time> pollsAt() const { return owner_ ? std::nullopt : at_; }  // it begins to ask then
+  bool shouldPoll(lease::BootTime now) const { return owner_ || (at_ && now >= *at_); }
+  std::optional<lease::BootTime> pollsAt() const {
+    return owner_ ? std::nullopt : at_;
+  }  // it begins to ask then
 
  private:
   bool owner_ = false;
-  std::optional<lease::Time> at_;
+  std::optional<lease::BootTime> at_;
 };
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/event_log.cpp
+++ b/src/fleet/event_log.cpp
@@ -24,7 +24,7 @@
 EventLog::~EventLog() = default;
 
 void EventLog::line(std::string_view event, nlohmann::json fields) {
-  const std::int64_t now = bootTime().count();
+  const std::int64_t now = bootTime().time_since_epoch().count();
   if (now / 1000 != second_) second_ = now / 1000, lines_ = 0;
   if (++lines_ > kLinesASecond) {
     ++leftOut_;
--- a/src/fleet/frame.cpp
+++ b/src/fleet/frame.cpp
@@ -38,12 +38,13 @@
 std::tuple<std::int64_t, std::vector<MarkRow>> row(const Heartbeat& m) {
   std::vector<MarkRow> held;
   for (const auto& h : m.held) held.emplace_back(h.key.task, h.key.shard, h.epoch, h.sequence);
-  return {m.sentAt, held};
+  return {m.sentAt.time_since_epoch().count(), held};
 }
 std::tuple<std::uint32_t, std::vector<GrantRow>, std::vector<LostRow>> row(const HeartbeatResponse& m) {
   std::vector<GrantRow> granted;
   for (const LeaseGrant& g : m.granted)
-    granted.emplace_back(g.key.task, g.key.shard, g.epoch, g.sequence, g.askedAt, g.leaseDuration);
+    granted.emplace_back(g.key.task, g.key.shard, g.epoch, g.sequence, g.askedAt.time_since_epoch().count(),
+                         g.leaseDuration.count());
   std::vector<LostRow> lost;
   for (const auto& [key, epoch] : m.lost) lost.emplace_back(key.task, key.shard, epoch);
   return {m.members, granted, lost};
@@ -82,15 +83,21 @@
 void fill(JoinRejected& m, RowOf<JoinRejected> r) { std::tie(m.reason) = std::move(r); }
 void fill(Heartbeat& m, RowOf<Heartbeat> r) {
   std::vector<MarkRow> held;
-  std::tie(m.sentAt, held) = std::move(r);
+  std::int64_t sentAt = 0;
+  std::tie(sentAt, held) = std::move(r);
+  m.sentAt = lease::BootTime(lease::Duration(sentAt));
   for (auto& [duty, shard, epoch, sequence] : held) m.held.push_back({{duty, shard}, epoch, sequence});
 }
 void fill(HeartbeatResponse& m, RowOf<HeartbeatResponse> r) {
   std::vector<GrantRow> granted;
   std::vector<LostRow> lost;
   std::tie(m.members, granted, lost) = std::move(r);
-  for (auto& [duty, shard, epoch, sequence, askedAt, lease] : granted)
-    m.granted.push_back({{duty, shard}, epoch, sequence, askedAt, lease});
+  for (auto& [duty, shard, epoch, sequence, askedAt, duration] : granted)
+    m.granted.push_back({{duty, shard},
+                         epoch,
+                         sequence,
+                         lease::BootTime(lease::Duration(askedAt)),
+                         lease::Duration(duration)});
   for (auto& [duty, shard, epoch] : lost) m.lost.emplace_back(LeaseKey{duty, shard}, epoch);
 }
 void fill(ReleaseLease& m, RowOf<ReleaseLease> r) {
--- a/src/fleet/frame.hpp
+++ b/src/fleet/frame.hpp
@@ -51,15 +51,15 @@
   std::string reason;
 };
 struct Heartbeat {
-  std::int64_t sentAt = 0;  // the member's clock before it wrote this, ms
+  lease::BootTime sentAt{};  // the member's clock before it wrote this
   std::vector<lease::LeasesRenewed::Held> held;
 };
 struct LeaseGrant {
   lease::LeaseKey key;
   lease::Epoch epoch = 0;
   lease::Sequence sequence = 0;
-  std::int64_t askedAt = 0;        // the member's stamp that it answers
-  std::int64_t leaseDuration = 0;  // ms
+  lease::BootTime askedAt{};  // the member's stamp that it answers
+  lease::Duration leaseDuration{};
 };
 struct HeartbeatResponse {  // answers a beat, or tells of a grant
   std::uint32_t members = 0;
--- a/src/fleet/member.cpp
+++ b/src/fleet/member.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 using boost::system::error_code;
+using lease::BootTime;
 using lease::LeaseKey;
-using lease::Time;
 using nlohmann::json;
 using std::chrono::milliseconds;
 
@@ -148,7 +148,7 @@
 }
 
 void Member::watchAlone() {
-  aloneTimer_.expires_after(std::max(heardAt_ + settings_.isolatedAfter - bootTime(), Time(10)));
+  aloneTimer_.expires_after(std::max(heardAt_ + settings_.isolatedAfter - bootTime(), milliseconds(10)));
   aloneTimer_.async_wait(lifetime_.guard([this](error_code ec) {
     if (ec) return;
     if (!alone_ && bootTime() >= heardAt_ + settings_.isolatedAfter) {
@@ -166,16 +166,16 @@
 void Member::beat() {
   if (!joined_ || !link_) return;
   // Before the question is written: the lease counts from here.
-  const Time now = bootTime();
-  Heartbeat word{now.count(), {}};
+  const BootTime now = bootTime();
+  Heartbeat word{now, {}};
   for (const auto& [key, tenure] : tenures_)
     if (tenure.isValid(now)) word.held.push_back({key, tenure.epoch(), tenure.sequence()});
   link_->send(word);
   beatAt(now + settings_.heartbeatInterval);
 }
 
-void Member::beatAt(Time at) {
-  beatTimer_.expires_after(std::max(at - bootTime(), Time(0)));
+void Member::beatAt(BootTime at) {
+  beatTimer_.expires_after(std::max(at - bootTime(), milliseconds(0)));
   beatTimer_.async_wait(lifetime_.guard([this](error_code ec) {
     if (!ec) beat();
   }));
@@ -194,7 +194,7 @@
   if (leaving_) return;
   lease::HeldLease& tenure = tenures_[grant.key];
   const lease::Epoch before = tenure.epoch();
-  tenure.granted(grant.epoch, grant.sequence, Time(grant.askedAt), Time(grant.leaseDuration));
+  tenure.granted(grant.epoch, grant.sequence, grant.askedAt, grant.leaseDuration);
   if (!tenure.isValid(bootTime()) || tenure.epoch() != grant.epoch) return;
   if (active_.count(grant.key) && active_[grant.key] != grant.epoch)
     lost(grant.key, active_[grant.key], "older");
@@ -218,13 +218,13 @@
 
 // A lease that nobody renewed ends here by this member's own clock, whether or not anything is heard.
 void Member::watchTenures() {
-  Time next = Time::max();
+  BootTime next = BootTime::max();
   for (const auto& [key, epoch] : active_) next = std::min(next, tenures_[key].until());
-  if (next == Time::max()) return;
-  tenureTimer_.expires_after(std::max(next - bootTime(), Time(0)));
+  if (next == BootTime::max()) return;
+  tenureTimer_.expires_after(std::max(next - bootTime(), milliseconds(0)));
   tenureTimer_.async_wait(lifetime_.guard([this](error_code ec) {
     if (ec) return;
-    const Time now = bootTime();
+    const BootTime now = bootTime();
     for (const auto& [key, epoch] : std::map<LeaseKey, lease::Epoch>(active_))
       if (!tenures_[key].isValid(now)) lost(key, epoch, "its lease ended");
     watchTenures();
--- a/src/fleet/member.hpp
+++ b/src/fleet/member.hpp
@@ -78,7 +78,7 @@
   void on(const TransferLease& word);
   void ended(LinkEnd end, const std::string& why);
   void beat();
-  void beatAt(lease::Time at);
+  void beatAt(lease::BootTime at);
   void granted(const LeaseGrant& grant);
   void lost(const lease::LeaseKey& key, lease::Epoch epoch, const char* why);
   void left();
@@ -110,7 +110,7 @@
   bool joined_ = false, alone_ = false, leaving_ = false;
   bool tellsDisk_ = true;                                // a failing disk is told once
   std::map<lease::LeaseKey, lease::Epoch> toldRefused_;  // a refusal is told once for each old epoch
-  lease::Time heardAt_{};
+  lease::BootTime heardAt_{};
   std::uint32_t members_;
   std::string lastEnd_;
   std::function<void()> left_;
--- a/src/lease/codec.cpp
+++ b/src/lease/codec.cpp
@@ -56,7 +56,7 @@
 std::string encode(const LogEntry& command) {
   Member member;
   std::string zone;
-  Time lease{};
+  Duration lease{};
   bool failed = false;
   std::vector<HeldRow> keys;
   std::visit(
@@ -76,8 +76,9 @@
             keys.emplace_back(h.key.task, h.key.shard, h.epoch, h.sequence);
       },
       command.change);
-  return packed(CommandRow(kFormat, command.now.count(), static_cast<std::uint8_t>(command.change.index()),
-                           member.name, member.incarnation, zone, lease.count(), failed, keys));
+  return packed(CommandRow(kFormat, command.now.time_since_epoch().count(),
+                           static_cast<std::uint8_t>(command.change.index()), member.name, member.incarnation,
+                           zone, lease.count(), failed, keys));
 }
 
 LogEntry decode(std::string_view bytes) {
@@ -90,11 +91,11 @@
   for (const auto& [duty, shard, epoch, sequence] : keys) held.push_back({{duty, shard}, epoch, sequence});
   if ((kind == 1 || kind == 3) && held.size() != 1)
     throw std::invalid_argument("command: kind " + std::to_string(kind) + " names no key");
-  LogEntry command{Time(now), {}};
+  LogEntry command{LogTime(Duration(now)), {}};
   switch (kind) {
     case 0: command.change = MemberJoined{member, zone}; break;
-    case 1: command.change = LeaseGranted{held[0].key, member, Time(lease)}; break;
-    case 2: command.change = LeasesRenewed{member, held, Time(lease)}; break;
+    case 1: command.change = LeaseGranted{held[0].key, member, Duration(lease)}; break;
+    case 2: command.change = LeasesRenewed{member, held, Duration(lease)}; break;
     case 3: command.change = LeaseReleased{held[0].key, held[0].epoch, member, failed}; break;
     case 4: command.change = MemberLeft{member}; break;
     default: throw std::invalid_argument("command: unknown kind " + std::to_string(kind));
@@ -105,12 +106,14 @@
 std::string LeaseTable::snapshot() const {
   std::vector<Row> rows;
   for (const auto& [key, h] : holdings_)
-    rows.emplace_back(key.task, key.shard, h.epoch, h.holder.name, h.holder.incarnation, h.grantedAt.count(),
-                      h.expiresAt.count(), static_cast<std::uint8_t>(h.reason), h.sequence);
+    rows.emplace_back(key.task, key.shard, h.epoch, h.holder.name, h.holder.incarnation,
+                      h.grantedAt.time_since_epoch().count(), h.expiresAt.time_since_epoch().count(),
+                      static_cast<std::uint8_t>(h.reason), h.sequence);
   std::vector<RecordRow> records;
   for (const auto& [who, r] : records_)
-    records.emplace_back(who.first, who.second, r.consecutiveFailures, r.backoffUntil.count());
-  return packed(Snapshot(kFormat, now_.count(), rows, members_, records));
+    records.emplace_back(who.first, who.second, r.consecutiveFailures,
+                         r.backoffUntil.time_since_epoch().count());
+  return packed(Snapshot(kFormat, now_.time_since_epoch().count(), rows, members_, records));
 }
 
 void LeaseTable::restore(std::string_view bytes) {
@@ -119,16 +122,20 @@
   if (rows.size() > kKeysMost || members.size() > kMembersMost || records.size() > kRecordsMost)
     throw std::invalid_argument("snapshot: more than there is room for");
   LeaseTable next;
-  next.now_ = Time(now);
+  next.now_ = LogTime(Duration(now));
   next.members_ = members;
   for (const auto& [duty, shard, epoch, owner, incarnation, since, until, why, sequence] : rows) {
     if (why > static_cast<std::uint8_t>(LeaseChangeReason::left))
       throw std::invalid_argument("snapshot: unknown reason");
-    next.holdings_[{duty, shard}] = {
-        epoch, {owner, incarnation}, Time(since), Time(until), static_cast<LeaseChangeReason>(why), sequence};
+    next.holdings_[{duty, shard}] = {epoch,
+                                     {owner, incarnation},
+                                     LogTime(Duration(since)),
+                                     LogTime(Duration(until)),
+                                     static_cast<LeaseChangeReason>(why),
+                                     sequence};
   }
   for (const auto& [member, duty, failures, until] : records)
-    next.records_[{member, duty}] = {failures, Time(until)};
+    next.records_[{member, duty}] = {failures, LogTime(Duration(until))};
   *this = std::move(next);
 }
 
--- a/src/lease/held_lease.hpp
+++ b/src/lease/held_lease.hpp
@@ -16,29 +16,29 @@
  public:
   // The keepers answered what was asked at `askedAt` (the member's clock, read before the question was
   // written). An answer of an older epoch, or to an older question, changes nothing.
-  void granted(Epoch epoch, Sequence sequence, Time askedAt, Time lease) {
+  void granted(Epoch epoch, Sequence sequence, BootTime askedAt, Duration lease) {
     if (epoch < epoch_) return;
     if (epoch > epoch_) {
       epoch_ = epoch;
       sequence_ = sequence;
-      until_ = Time{};
+      until_ = BootTime{};
       over_ = false;
     }
-    const Time until = askedAt + lease - lease / kDriftPart;
+    const BootTime until = askedAt + lease - lease / kDriftPart;
     if (until <= until_ || over_) return;
     until_ = until;
   }
   // Given back, taken away, or found to be somebody else's. Only another epoch begins it anew.
   void end() { over_ = true; }
 
-  bool isValid(Time now) const { return epoch_ > 0 && !over_ && now < until_; }
+  bool isValid(BootTime now) const { return epoch_ > 0 && !over_ && now < until_; }
   bool held() const { return epoch_ > 0 && !over_; }  // as far as it knows; mayAct says whether it counts
-  Time until() const { return until_; }
+  BootTime until() const { return until_; }
   Epoch epoch() const { return epoch_; }
   Sequence sequence() const { return sequence_; }  // of the last order
 
   // The name of the next order, or none if it may not act any more.
-  std::optional<FencingToken> nextToken(const LeaseKey& key, const Member& self, Time now) {
+  std::optional<FencingToken> nextToken(const LeaseKey& key, const Member& self, BootTime now) {
     if (!isValid(now)) return std::nullopt;
     return FencingToken{key, epoch_, ++sequence_, self};
   }
@@ -46,7 +46,7 @@
  private:
   Epoch epoch_ = 0;
   Sequence sequence_ = 0;
-  Time until_{};
+  BootTime until_{};
   bool over_ = false;
 };
 
--- a/src/lease/lease.hpp
+++ b/src/lease/lease.hpp
@@ -9,9 +9,14 @@
 
 namespace cairnjunction::lease {
 
-// On the log: since the log began, as the keepers' leaders count it (see docs/design/fleet.md). At a member:
-// since its machine booted, sleep included. The two are never compared.
-using Time = std::chrono::milliseconds;
+using Duration = std::chrono::milliseconds;
+
+// Two clocks, as types that don't compare. Neither can be read here: their readers pass the time in.
+struct LogClock {};   // since the log began, as its leaders count it (docs/design/fleet.md)
+struct BootClock {};  // since one machine booted, sleep included; of another machine it says nothing
+using LogTime = std::chrono::time_point<LogClock, Duration>;
+using BootTime = std::chrono::time_point<BootClock, Duration>;
+
 using Epoch = std::uint64_t;        // of one duty and shard: only grows; 0 = nobody has owned it yet
 using Sequence = std::uint64_t;     // of orders within an epoch, from 1
 using Incarnation = std::uint64_t;  // of a member: another one with each start of its process, never 0
--- a/src/lease/lease_assigner.cpp
+++ b/src/lease/lease_assigner.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 std::vector<LeaseGranted> assignLeases(const LeaseTable& registry, const std::vector<TaskSpec>& specs,
-                                       const std::vector<Candidate>& candidates, Time now) {
+                                       const std::vector<Candidate>& candidates, LogTime now) {
   std::vector<LeaseGranted> grants;
   if (candidates.empty()) return grants;
   std::map<Member, std::size_t> load;
@@ -43,7 +43,7 @@
       // Whoever is not passed over goes before whoever is; then the heir; then who holds least; a draw that
       // changes with the epoch settles the rest.
       const auto rank = [&](const Candidate& c) {
-        const Time over = registry.recordOf(c.member.name, spec.task).backoffUntil;
+        const LogTime over = registry.recordOf(c.member.name, spec.task).backoffUntil;
         return std::make_tuple(std::max(over, now),
                                !spec.antiAffinity.empty() && owns(c.member, spec.antiAffinity),
                                spec.preferredSuccessor.empty() || !owns(c.member, spec.preferredSuccessor),
--- a/src/lease/lease_table.cpp
+++ b/src/lease/lease_table.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 // One that failed is passed over for this long, twice as long at each further failure, and at most so long.
-constexpr Time kPassOverFirst{2'000}, kPassOverMost{300'000};
+constexpr Duration kPassOverFirst{2'000}, kPassOverMost{300'000};
 constexpr std::uint32_t kDoublingsMost = 10;
 // Who held a duty for so many leases has shown that it can do it.
 constexpr int kProvenLeases = 10;
 
 bool goodName(const std::string& name) { return !name.empty() && name.size() <= kNameMost; }
-bool goodLease(Time lease) { return lease >= kLeaseLeast && lease <= kLeaseMost; }
+bool goodLease(Duration lease) { return lease >= kLeaseLeast && lease <= kLeaseMost; }
 
 }  // namespace
 
@@ -60,7 +60,7 @@
   return it == members_.end() ? 0 : it->second;
 }
 
-std::size_t LeaseTable::held(const Member& member, Time now) const {
+std::size_t LeaseTable::held(const Member& member, LogTime now) const {
   return static_cast<std::size_t>(std::count_if(holdings_.begin(), holdings_.end(), [&](const auto& h) {
     return h.second.holder == member && h.second.heldAt(now);
   }));
@@ -154,7 +154,7 @@
       return a.second.backoffUntil < b.second.backoffUntil;
     }));
   FailureHistory& record = records_[{member, duty}];
-  const Time over =
+  const Duration over =
       std::min(kPassOverFirst * (std::int64_t{1} << std::min(record.consecutiveFailures, kDoublingsMost)),
                kPassOverMost);
   ++record.consecutiveFailures;
--- a/src/lease/lease_table.hpp
+++ b/src/lease/lease_table.hpp
@@ -27,7 +27,7 @@
     4096;  // names ever joined; those that hold nothing are forgotten first
 inline constexpr std::size_t kRecordsMost = 4096;  // failures by member and duty
 inline constexpr std::size_t kNameMost = 128;      // bytes of a name of a member, duty or zone
-inline constexpr Time kLeaseLeast{200}, kLeaseMost{60'000};
+inline constexpr Duration kLeaseLeast{200}, kLeaseMost{60'000};
 
 // Why a key changed hands, or has no owner.
 enum class LeaseChangeReason : std::uint8_t {
@@ -42,18 +42,18 @@
 struct LeaseRecord {
   Epoch epoch = 0;
   Member holder;                                         // no name: nobody
-  Time grantedAt{};                                      // of this epoch,
-  Time expiresAt{};                                      // and end of the lease, by the log's time
+  LogTime grantedAt{};                                   // of this epoch,
+  LogTime expiresAt{};                                   // and end of the lease, by the log's time
   LeaseChangeReason reason = LeaseChangeReason::vacant;  // this owner has it; without one, why not
   Sequence sequence = 0;  // of the last order that the owner told when it renewed; orders before it are old
   bool operator==(const LeaseRecord&) const = default;
-  bool heldAt(Time now) const { return !holder.name.empty() && now < expiresAt; }
+  bool heldAt(LogTime now) const { return !holder.name.empty() && now < expiresAt; }
 };
 
 // What a member did with a duty, so that one which fails again and again is passed over.
 struct FailureHistory {
   std::uint32_t consecutiveFailures = 0;  // on end
-  Time backoffUntil{};
+  LogTime backoffUntil{};
   bool operator==(const FailureHistory&) const = default;
 };
 
@@ -64,7 +64,7 @@
 struct LeaseGranted {
   LeaseKey key;
   Member member;
-  Time leaseDuration{};
+  Duration leaseDuration{};
 };
 struct LeasesRenewed {
   struct Held {
@@ -74,7 +74,7 @@
   };
   Member member;
   std::vector<Held> held;
-  Time leaseDuration{};
+  Duration leaseDuration{};
 };
 struct LeaseReleased {
   LeaseKey key;
@@ -88,7 +88,7 @@
 using Change = std::variant<MemberJoined, LeaseGranted, LeasesRenewed, LeaseReleased, MemberLeft>;
 
 struct LogEntry {
-  Time now{};  // the leader's count of the log's time; one that is before the log's is taken as the log's
+  LogTime now{};  // the leader's count of the log's time; one that is before the log's is taken as the log's
   Change change;
 };
 
@@ -111,13 +111,13 @@
  public:
   ApplyResult apply(const LogEntry& command);
 
-  Time now() const { return now_; }  // of the last command
+  LogTime now() const { return now_; }  // of the last command
   const LeaseRecord* find(const LeaseKey& key) const;
   const std::map<LeaseKey, LeaseRecord>& holdings() const { return holdings_; }
   FailureHistory recordOf(const std::string& member, const std::string& duty) const;
   // The process that joined last under this name; 0: none.
   Incarnation incarnationOf(const std::string& member) const;
-  std::size_t held(const Member& member, Time now) const;  // keys that it owns
+  std::size_t held(const Member& member, LogTime now) const;  // keys that it owns
   bool operator==(const LeaseTable&) const = default;
 
   // All of it, and back. restore throws std::invalid_argument on what snapshot didn't write, and then the
@@ -135,7 +135,7 @@
   void note(const std::string& member, const std::string& duty, bool failure);
   bool makeRoom();
 
-  Time now_{};
+  LogTime now_{};
   std::map<LeaseKey, LeaseRecord> holdings_;
   std::map<std::string, Incarnation> members_;
   std::map<std::pair<std::string, std::string>, FailureHistory> records_;  // by member and duty
--- a/tests/fleet/coordinators_test.cpp
+++ b/tests/fleet/coordinators_test.cpp
@@ -28,7 +28,7 @@
   join("d");
   ASSERT_TRUE(until([&] { return seen["d"].orders.size() == 1; }));
   bool left = false;
-  const lease::Time asked = fleet::bootTime();
+  const lease::BootTime asked = fleet::bootTime();
   members[first]->leave([&] { left = true; });
   EXPECT_FALSE(members[first]->sendCommand(list, "late", true));
   ASSERT_TRUE(until([&] { return left; }));
--- a/tests/fleet/parts_test.cpp
+++ b/tests/fleet/parts_test.cpp
@@ -17,6 +17,8 @@
 using fleet::LinkEnd;
 using fleet::Message;
 
+lease::BootTime at(lease::Duration sinceBoot) { return lease::BootTime(sinceBoot); }
+
 std::string file(const std::string& more, int keepers = 3) {
   std::string text = "fleet = \"yard\"\n" + more + "\n";
   for (int i = 1; i <= keepers; ++i)
@@ -61,8 +63,8 @@
           fleet::JoinResponse{1, 5, {{key, {4, 3, {}}}}},
           fleet::NotLeader{3},
           fleet::JoinRejected{"no"},
-          fleet::Heartbeat{123, {{key, 4, 3}}},
-          fleet::HeartbeatResponse{5, {{key, 4, 3, 123, 3000}}, {{key, 4}}},
+          fleet::Heartbeat{at(123ms), {{key, 4, 3}}},
+          fleet::HeartbeatResponse{5, {{key, 4, 3, at(123ms), 3s}}, {{key, 4}}},
           fleet::ReleaseLease{key, 4, true},
           fleet::TransferLease{key, 4},
           fleet::Command{{key, 4, 3, {"n0", 7}}, true, std::string(1000, 'x')},
@@ -136,7 +138,7 @@
 
 // A raw peer: sends what a link never would, cut at every byte of a frame.
 TEST_F(LinkTest, BytesThatAreCutOffOrWrongEndTheLinkByName) {
-  const std::string frame = *fleet::encode(fleet::Heartbeat{1, {{{"list", 0}, 4, 3}}});
+  const std::string frame = *fleet::encode(fleet::Heartbeat{at(1ms), {{{"list", 0}, 4, 3}}});
   const auto play = [&](const std::string& bytes, bool closes) {
     farEnd.reset();
     tcp::socket raw(io);
@@ -200,27 +202,27 @@
 
 TEST(ListRules, OnlyTheOwnerAsksAndWhoeverIsAloneAfterItsTurn) {
   fleet::FallbackPolling asking;
-  EXPECT_FALSE(asking.shouldPoll(1s));
+  EXPECT_FALSE(asking.shouldPoll(at(1s)));
   asking.onLeaseChange(true);
-  EXPECT_TRUE(asking.shouldPoll(1s));
+  EXPECT_TRUE(asking.shouldPoll(at(1s)));
   asking.onLeaseChange(false);
   // Three hundred that are left alone: as many calls a second as discovery takes.
   std::map<std::int64_t, int> second;
   for (int i = 0; i < 300; ++i) {
     fleet::FallbackPolling one;
-    one.onIsolationChange(true, 0s, 300, true, i / 300.0);
-    ++second[one.pollsAt()->count() / 1000];
+    one.onIsolationChange(true, at(0s), 300, true, i / 300.0);
+    ++second[one.pollsAt()->time_since_epoch().count() / 1000];
     EXPECT_TRUE(one.shouldPoll(*one.pollsAt()));
   }
-  for (const auto& [at, calls] : second) EXPECT_LE(calls, 2) << at;
-  asking.onIsolationChange(true, 1s, 300, false, 1);
-  EXPECT_EQ(*asking.pollsAt(), 31s) << "with no list at all it can't wait as long";
-  asking.onIsolationChange(false, 2s, 300, false, 1);
-  EXPECT_FALSE(asking.shouldPoll(100s));
-  asking.onListRejected(2s, 10, 0.5);
-  EXPECT_TRUE(asking.shouldPoll(7s));
+  for (const auto& [when, calls] : second) EXPECT_LE(calls, 2) << when;
+  asking.onIsolationChange(true, at(1s), 300, false, 1);
+  EXPECT_EQ(*asking.pollsAt(), at(31s)) << "with no list at all it can't wait as long";
+  asking.onIsolationChange(false, at(2s), 300, false, 1);
+  EXPECT_FALSE(asking.shouldPoll(at(100s)));
+  asking.onListRejected(at(2s), 10, 0.5);
+  EXPECT_TRUE(asking.shouldPoll(at(7s)));
   asking.onListAccepted(false);
-  EXPECT_FALSE(asking.shouldPoll(7s));
+  EXPECT_FALSE(asking.shouldPoll(at(7s)));
 }
 
 }  // namespace
--- a/tests/lease/explorer_test.cpp
+++ b/tests/lease/explorer_test.cpp
@@ -29,19 +29,19 @@
   std::size_t statesMost = 400'000;
 };
 
-constexpr Time kTick{100}, kLease{200};
+constexpr Duration kTick{100}, kLease{200};
 
 struct Ask {
   int member, duty;
   Incarnation incarnation;
-  Time askedAt;
+  BootTime askedAt;
   Epoch renews;  // 0: asks for a grant
   auto operator<=>(const Ask&) const = default;
 };
 struct Answer {
   int member, duty;
   Incarnation incarnation;
-  Time askedAt;
+  BootTime askedAt;
   Epoch epoch;
   auto operator<=>(const Answer&) const = default;
 };
@@ -53,12 +53,15 @@
 };
 
 struct World {
-  Time now{1000};
+  Duration now{1000};
   LeaseTable log;
   std::array<Process, 3> members;
   FencingGate fence;
   std::vector<Message> net;  // sorted: their order says nothing
   int ticks = 0, crashes = 0, restarts = 0, copies = 0;
+  // All machines and the log count it alike, from the same moment.
+  BootTime bootTime() const { return BootTime(now); }
+  LogTime logTime() const { return LogTime(now); }
   // What the receiver did, for the promises: by duty the highest epoch, and who had an effect under each
   // epoch.
   std::array<Epoch, 2> highest{};
@@ -85,15 +88,16 @@
     add(w.now.count(), w.ticks, w.crashes, w.restarts, w.copies, w.fence.ready(), w.highest[0], w.highest[1]);
     for (const Process& p : w.members)
       for (const HeldLease& t : p.tenures)
-        add(p.incarnation, t.epoch(), t.sequence(), t.until().count(), t.held());
+        add(p.incarnation, t.epoch(), t.sequence(), t.until().time_since_epoch().count(), t.held());
     for (const auto& [key, mark] : w.fence.marks())
       id += key.task, add(mark.epoch, mark.sequence), id += mark.holder.name;
     for (const Message& m : w.net) {
       add(m.index());
       if (const auto* ask = std::get_if<Ask>(&m))
-        add(ask->member, ask->duty, ask->incarnation, ask->askedAt.count(), ask->renews);
+        add(ask->member, ask->duty, ask->incarnation, ask->askedAt.time_since_epoch().count(), ask->renews);
       else if (const auto* answer = std::get_if<Answer>(&m))
-        add(answer->member, answer->duty, answer->incarnation, answer->askedAt.count(), answer->epoch);
+        add(answer->member, answer->duty, answer->incarnation, answer->askedAt.time_since_epoch().count(),
+            answer->epoch);
       else if (const auto* order = std::get_if<FencingToken>(&m))
         id += order->key.task + order->holder.name,
             add(order->epoch, order->sequence, order->holder.incarnation);
@@ -109,7 +113,7 @@
     depth = std::max(depth, at);
     for (int d = 0; d < bounds.duties; ++d) {
       int owners = 0;
-      for (int m = 0; m < bounds.members; ++m) owners += w.members[m].tenures[d].isValid(w.now);
+      for (int m = 0; m < bounds.members; ++m) owners += w.members[m].tenures[d].isValid(w.bootTime());
       if (owners > 1) harm = "two members may act for one duty at once";
     }
     if (at < bounds.depth) next.emplace_back(std::move(w), at);
@@ -131,16 +135,16 @@
       const Member who{nameOf(ask->member), ask->incarnation};
       const LeaseKey key = keyOf(ask->duty);
       const ApplyResult outcome =
-          ask->renews ? w.log.apply({w.now, LeasesRenewed{who, {{key, ask->renews, 0}}, kLease}})
-                      : w.log.apply({w.now, LeaseGranted{key, who, kLease}});
+          ask->renews ? w.log.apply({w.logTime(), LeasesRenewed{who, {{key, ask->renews, 0}}, kLease}})
+                      : w.log.apply({w.logTime(), LeaseGranted{key, who, kLease}});
       if (!outcome.held.empty())
         w.net.push_back(
             Answer{ask->member, ask->duty, ask->incarnation, ask->askedAt, outcome.held[0].epoch});
     } else if (const auto* answer = std::get_if<Answer>(&message)) {
       Process& p = w.members[answer->member];
       if (p.incarnation != answer->incarnation) return;
-      p.tenures[answer->duty].granted(answer->epoch, 0, broken.leaseFromAnswer ? w.now : answer->askedAt,
-                                      kLease);
+      p.tenures[answer->duty].granted(answer->epoch, 0,
+                                      broken.leaseFromAnswer ? w.bootTime() : answer->askedAt, kLease);
     } else {
       take(w, std::get<FencingToken>(message));
     }
@@ -170,19 +174,20 @@
       for (int d = 0; d < bounds.duties && w.net.size() < bounds.messages; ++d) {
         const HeldLease& tenure = w.members[m].tenures[d];
         with([&](World& c) {  // asks for the key, or to keep it
-          c.net.push_back(Ask{m, d, w.members[m].incarnation, w.now, tenure.held() ? tenure.epoch() : 0});
+          c.net.push_back(
+              Ask{m, d, w.members[m].incarnation, w.bootTime(), tenure.held() ? tenure.epoch() : 0});
         });
-        if (tenure.isValid(w.now))
+        if (tenure.isValid(w.bootTime()))
           with([&](World& c) {  // decides; the order may be written at any later moment
-            c.net.push_back(
-                *c.members[m].tenures[d].nextToken(keyOf(d), {nameOf(m), w.members[m].incarnation}, c.now));
+            c.net.push_back(*c.members[m].tenures[d].nextToken(
+                keyOf(d), {nameOf(m), w.members[m].incarnation}, c.bootTime()));
           });
       }
       if (w.crashes < bounds.crashes)
         with([&](World& c) {
           ++c.crashes;
           c.members[m] = {w.members[m].incarnation + 1, {}};
-          c.log.apply({c.now, MemberJoined{{nameOf(m), c.members[m].incarnation}, ""}});
+          c.log.apply({c.logTime(), MemberJoined{{nameOf(m), c.members[m].incarnation}, ""}});
         });
     }
     if (w.restarts < bounds.restarts)
@@ -203,7 +208,8 @@
   void explore() {
     World first;
     first.fence.learn({});
-    for (int m = 0; m < bounds.members; ++m) first.log.apply({first.now, MemberJoined{{nameOf(m), 1}, ""}});
+    for (int m = 0; m < bounds.members; ++m)
+      first.log.apply({first.logTime(), MemberJoined{{nameOf(m), 1}, ""}});
     reach(first, 0);
     while (!next.empty() && harm.empty()) {
       const auto [world, at] = std::move(next.front());
--- a/tests/lease/lease_test.cpp
+++ b/tests/lease/lease_test.cpp
@@ -14,10 +14,13 @@
 
 const LeaseKey kList{"list", 0};
 const Member kA{"a", 1}, kB{"b", 2};
-constexpr Time kLease{3000};
+constexpr Duration kLease{3000};
+
+LogTime logTime(std::int64_t ms) { return LogTime(Duration(ms)); }
+BootTime bootTime(std::int64_t ms) { return BootTime(Duration(ms)); }
 
 struct Log : LeaseTable {
-  Time at{1000};
+  LogTime at = logTime(1000);
   ApplyResult operator()(Change change) { return apply({at, std::move(change)}); }
 };
 
@@ -27,11 +30,11 @@
   log(MemberJoined{kB, ""});
   EXPECT_EQ(log(LeaseGranted{kList, kA, kLease}).held.at(0).epoch, 1u);
   EXPECT_EQ(log(LeaseGranted{kList, kB, kLease}).rejection, RejectionReason::heldByAnother);
-  log.at += kLease - Time(1);
+  log.at += kLease - Duration(1);
   EXPECT_EQ(log(LeasesRenewed{kA, {{kList, 1, 7}}, kLease}).held.size(), 1u);
-  log.at += kLease - Time(1);
+  log.at += kLease - Duration(1);
   EXPECT_EQ(log(LeaseGranted{kList, kB, kLease}).rejection, RejectionReason::heldByAnother);
-  log.at += Time(1);
+  log.at += Duration(1);
   EXPECT_EQ(log(LeasesRenewed{kA, {{kList, 1, 8}}, kLease}).rejection, RejectionReason::notHolder)
       << "its lease has ended";
   EXPECT_EQ(log(LeaseGranted{kList, kB, kLease}).held.at(0).epoch, 2u);
@@ -63,8 +66,8 @@
   for (const Change& bad : std::initializer_list<Change>{
            MemberJoined{{"", 1}, ""}, MemberJoined{{"x", 0}, ""},
            MemberJoined{{std::string(kNameMost + 1, 'x'), 1}, ""}, LeaseGranted{{"", 0}, kA, kLease},
-           LeaseGranted{kList, kA, Time(0)}, LeaseGranted{kList, kA, kLeaseMost + Time(1)},
-           LeasesRenewed{kA, {}, Time(-1)}})
+           LeaseGranted{kList, kA, Duration(0)}, LeaseGranted{kList, kA, kLeaseMost + Duration(1)},
+           LeasesRenewed{kA, {}, Duration(-1)}})
     EXPECT_EQ(log(bad).rejection, RejectionReason::invalid);
   EXPECT_EQ(log(LeaseGranted{kList, kB, kLease}).rejection, RejectionReason::supplanted) << "never joined";
   for (std::uint32_t i = 0; i < kKeysMost; ++i) log(LeaseGranted{{"d", i}, kA, kLease});
@@ -81,11 +84,11 @@
     std::mt19937_64 random(seed);
     const auto draw = [&](std::uint64_t n) { return random() % n; };
     LeaseTable log, replica;
-    Time now{0};
+    LogTime now{};
     std::map<LeaseKey, std::pair<Epoch, Member>> last;
-    std::map<LeaseKey, Time> until;
+    std::map<LeaseKey, LogTime> until;
     for (int i = 0; i < 2000; ++i) {
-      now += Time(draw(400));
+      now += Duration(draw(400));
       const Member who{"m" + std::to_string(draw(4)), 1 + draw(2)};
       const LeaseKey key{"d", static_cast<std::uint32_t>(draw(3))};
       const Epoch epoch = last.count(key) ? last[key].first - draw(2) : draw(3);
@@ -95,7 +98,7 @@
                                 LeaseGranted{key, who, kLease},
                                 LeaseReleased{key, epoch, who, draw(2) == 0},
                                 MemberLeft{who}};
-      const LogEntry command{now - Time(draw(3) * 50), changes[draw(draw(8) ? 5 : 6)]};
+      const LogEntry command{now - Duration(draw(3) * 50), changes[draw(draw(8) ? 5 : 6)]};
       const std::string bytes = encode(command);
       const ApplyResult outcome = log.apply(decode(bytes));
       if (draw(50) == 0) replica.restore(std::string(replica.snapshot()));
@@ -119,7 +122,8 @@
   Log log;
   log(MemberJoined{kA, "z"});
   log(LeaseGranted{kList, kA, kLease});
-  const std::string texts[] = {log.snapshot(), encode({Time(5), LeasesRenewed{kA, {{kList, 1, 2}}, kLease}})};
+  const std::string texts[] = {log.snapshot(),
+                               encode({logTime(5), LeasesRenewed{kA, {{kList, 1, 2}}, kLease}})};
   std::mt19937_64 random(1);
   for (int i = 0; i < 20'000; ++i) {
     std::string text = texts[i % 2];
@@ -190,22 +194,23 @@
 
 TEST(Tenure, CountsFromBeforeItAskedAndNeverLongerThanTheLog) {
   HeldLease tenure;
-  EXPECT_FALSE(tenure.isValid(Time(0)));
-  tenure.granted(4, 0, Time(1000), kLease);
-  EXPECT_TRUE(tenure.isValid(Time(1000) + kLease - kLease / kDriftPart - Time(1)));
-  EXPECT_FALSE(tenure.isValid(Time(1000) + kLease - kLease / kDriftPart));
-  tenure.granted(4, 0, Time(500), kLease);
-  EXPECT_EQ(tenure.until(), Time(1000) + kLease - kLease / kDriftPart) << "an answer to an older question";
-  tenure.granted(3, 0, Time(9000), kLease);
-  EXPECT_FALSE(tenure.isValid(Time(9000))) << "of an epoch that is over";
-  EXPECT_EQ(tenure.nextToken(kList, kA, Time(2000))->sequence, 1u);
-  EXPECT_EQ(tenure.nextToken(kList, kA, Time(2000))->sequence, 2u);
+  EXPECT_FALSE(tenure.isValid(bootTime(0)));
+  tenure.granted(4, 0, bootTime(1000), kLease);
+  EXPECT_TRUE(tenure.isValid(bootTime(1000) + kLease - kLease / kDriftPart - Duration(1)));
+  EXPECT_FALSE(tenure.isValid(bootTime(1000) + kLease - kLease / kDriftPart));
+  tenure.granted(4, 0, bootTime(500), kLease);
+  EXPECT_EQ(tenure.until(), bootTime(1000) + kLease - kLease / kDriftPart)
+      << "an answer to an older question";
+  tenure.granted(3, 0, bootTime(9000), kLease);
+  EXPECT_FALSE(tenure.isValid(bootTime(9000))) << "of an epoch that is over";
+  EXPECT_EQ(tenure.nextToken(kList, kA, bootTime(2000))->sequence, 1u);
+  EXPECT_EQ(tenure.nextToken(kList, kA, bootTime(2000))->sequence, 2u);
   tenure.end();
-  EXPECT_FALSE(tenure.nextToken(kList, kA, Time(2000)));
-  tenure.granted(4, 0, Time(2000), kLease);
+  EXPECT_FALSE(tenure.nextToken(kList, kA, bootTime(2000)));
+  tenure.granted(4, 0, bootTime(2000), kLease);
   EXPECT_FALSE(tenure.held()) << "what was given back comes back only with another epoch";
-  tenure.granted(5, 0, Time(2000), kLease);
-  EXPECT_EQ(tenure.nextToken(kList, kA, Time(2000))->sequence, 1u);
+  tenure.granted(5, 0, bootTime(2000), kLease);
+  EXPECT_EQ(tenure.nextToken(kList, kA, bootTime(2000))->sequence, 1u);
 }
 
 TEST(Fence, TakesWhatIsNewerOnlyAndNothingBeforeItWasTold) {
--- a/tools/lab/load.cpp
+++ b/tools/lab/load.cpp
@@ -104,7 +104,7 @@
   const std::uint64_t kind = random_() % 10;
   call->name = kind < 5 ? "cut-plan" : kind < 8 ? "stock-out" : "log-in";
   call->due = due_;
-  call->dueAt = fleet::bootTime().count() -
+  call->dueAt = fleet::bootTime().time_since_epoch().count() -
                 std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - due_).count();
   const std::string head =
       " HTTP/1.1\r\nHost: lab\r\nConnection: close\r\nX-Request-Id: " + call->id + "\r\n";
--- a/tools/lab/run.cpp
+++ b/tools/lab/run.cpp
@@ -27,7 +27,7 @@
 
 std::string text(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
-std::int64_t bootMs() { return fleet::bootTime().count(); }
+std::int64_t bootMs() { return fleet::bootTime().time_since_epoch().count(); }
 
 }  // namespace
 
