--- a/tools/ci/clang_tidy.sh
+++ b/tools/ci/clang_tidy.sh
@@ -15,6 +15,7 @@
 src/admin
 src/common
 src/config
+src/consensus
 src/core
 src/discovery
 src/http/request_writer.cpp
@@ -27,6 +28,7 @@
 src/jsonrpc/upstream_connection.cpp
 src/jsonrpc/upstream_pool.cpp
 src/jsonrpc/worker_protocol.cpp
+src/lease
 src/limits
 src/membership
 src/policy
@@ -34,6 +36,8 @@
 src/sim
 src/toml
 src/upstream
+tests/consensus
+tests/lease
 "
 
 [ -f "$build/compile_commands.json" ] || { echo "$build/compile_commands.json is missing" >&2; exit 2; }
