--- a/include/cairnjunction/attempt.hpp
+++ b/include/cairnjunction/attempt.hpp
@@ -31,7 +31,7 @@
   brokenWhileWriting,   // connectFailed: the connection broke before the last byte was written
   cancelledBeforeSend,  // connectFailed: taken back unwritten: the list drained, removed or moved the
                         // endpoint, or the client left
-  malformedResponse  // error, reset: what came is no response that can be read
+  malformedResponse     // error, reset: what came is no response that can be read
 };
 
 enum class ConnectionUse : std::uint8_t {
--- a/src/policy/timer_queue.hpp
+++ b/src/policy/timer_queue.hpp
@@ -56,7 +56,7 @@
   std::size_t size() const { return heap_.size(); }
 
  private:
-  static constexpr std::size_t kPurgeLeast = 1024;  // timers; fewer are not worth a pass over them
+  static constexpr std::size_t kPurgeLeast = 1024;  // timers; fewer cost more to look through than to keep
 
   static bool isLater(const Timer& left, const Timer& right) {
     return left.at != right.at ? left.at > right.at : left.request.slot > right.request.slot;
