--- a/src/app/coordinator_main.cpp
+++ b/src/app/coordinator_main.cpp
@@ -1,5 +1,5 @@
-// The keeper's program: one of three or five that hold the fleet's log. An executable of its own, so that the
-// gateway carries neither the consensus library nor its event loop.
+// The coordinator's program: one of three or five that hold the fleet's log. An executable of its own, so
+// that the gateway carries neither the consensus library nor its event loop.
 #include <CLI/CLI.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -8,7 +8,7 @@
 #include <filesystem>
 #include <iostream>
 #include <memory>
-#include <optional>
+#include <string>
 
 #include "consensus/raft_log.hpp"
 #include "consensus/voter_identity.hpp"
@@ -21,107 +21,165 @@
 using namespace cairnjunction;
 using nlohmann::json;
 
-constexpr int kFailed = 1, kBadSettings = 2, kNotAdmitted = 3;
+constexpr const char* kProgram = "cairnjunction-coordinator";
+// Its name until it was renamed: a link that still starts it, and says so.
+constexpr const char* kFormerName = "cairnjunction-keeper";
+
+enum ExitCode : int { stopped = 0, failed = 1, badSettings = 2, notAdmitted = 3 };
 
 struct Options {
-  std::string file, folder, log;
-  int number = 0;
-  unsigned snapshotEvery = 1024;
+  std::string file;               // the fleet file
+  std::string folder;             // of this coordinator's log and identity
+  std::string log;                // for events; empty: standard error
+  int number = 0;                 // of this coordinator, in the fleet file
+  unsigned snapshotEvery = 1024;  // entries of the log
 };
 
-json answered(fleet::Coordinator& keeper, const json& question) {
-  const std::string ask = question.value("ask", "");
-  if (ask == "status") return keeper.status();
-  if (ask == "duties") return keeper.leases();
-  if (ask == "hand-over") {
-    const lease::LeaseKey key{question.value("duty", ""), question.value("shard", 0u)};
-    if (!keeper.isLeader())
-      return {{"error", "this keeper does not lead; ask keeper " + keeper.status()["leader"].dump()}};
-    if (!keeper.transfer(key))
-      return {{"error", key.task + "/" + std::to_string(key.shard) + " has no owner that is connected"}};
-    return {{"asked", true}};
+void logError(const std::string& what) { std::cerr << kProgram << ": " << what << '\n'; }
+
+json answerTransfer(fleet::Coordinator& coordinator, const lease::LeaseKey& key) {
+  switch (coordinator.transfer(key)) {
+    case fleet::TransferResult::requested: return {{"asked", true}};
+    case fleet::TransferResult::notLeader:
+      return {{"error", "this keeper does not lead; ask keeper " + coordinator.status()["leader"].dump()}};
+    case fleet::TransferResult::notHeld:
+    case fleet::TransferResult::holderNotConnected: break;
   }
+  return {{"error", key.task + "/" + std::to_string(key.shard) + " has no owner that is connected"}};
+}
+
+// The names of requests and their fields are those of the admin socket, and mapped here alone.
+json answer(fleet::Coordinator& coordinator, const json& request) {
+  const std::string ask = request.value("ask", "");
+  if (ask == "status") return coordinator.status();
+  if (ask == "duties") return coordinator.leases();
+  if (ask == "hand-over")
+    return answerTransfer(coordinator, {request.value("duty", ""), request.value("shard", 0U)});
   return {{"error", "unknown question '" + ask + "': status, duties, hand-over"}};
 }
 
-int serve(const Options& options) {
-  const fleet::Settings settings = fleet::readSettings(options.file);
+// Reads the fleet file, and checks that this coordinator is in it.
+fleet::Settings readSettings(const Options& options) {
+  fleet::Settings settings = fleet::readSettings(options.file);
   if (!settings.coordinator(options.number))
     throw fleet::BadSettings(options.file + ": no keeper has the number " + std::to_string(options.number));
-  boost::asio::io_context io(1);
-  boost::asio::signal_set stops(io, SIGTERM, SIGINT);
-  consensus::VoterIdentity identity(options.folder, settings.fleet, options.number);
-  fleet::EventLog journal(options.log, "keeper", std::to_string(options.number));
-  fleet::LeaseStateMachine machine;
-  fleet::Coordinator keeper(io, settings, options.number, identity, machine, journal);
-  fleet::AdminSocket control(io, options.folder + "/control.sock",
-                             [&](const json& question) { return answered(keeper, question); });
-  std::unique_ptr<consensus::RaftLog> log;
-  std::exception_ptr failed;
-  int code = 0;
-  fleet::VoterHandshake admission(io, settings, options.number, identity, journal,
-                                  [&](const std::string& why) {
-                                    if (!why.empty()) {
-                                      std::cerr << "cairnjunction-keeper: " << why << '\n';
-                                      code = kNotAdmitted;
-                                      return io.stop();
-                                    }
-                                    consensus::RaftOptions raft;
-                                    raft.folder = options.folder + "/log";
-                                    raft.number = options.number;
-                                    raft.listen = settings.coordinator(options.number)->raft;
-                                    for (const fleet::CoordinatorAddress& k : settings.coordinators)
-                                      raft.voters[k.number] = k.raft;
-                                    raft.electionTimeout = settings.electionTimeout;
-                                    raft.heartbeatInterval = settings.electionTimeout / 10;
-                                    raft.snapshotThreshold = options.snapshotEvery;
-                                    try {
-                                      std::filesystem::create_directory(raft.folder);
-                                      log = std::make_unique<consensus::RaftLog>(io, raft, machine);
-                                      keeper.serve(*log);
-                                      journal.line("votes", {{"starts", identity.own().startCount}});
-                                    } catch (...) {  // not through the event loop's handler
-                                      failed = std::current_exception();
-                                      io.stop();
-                                    }
-                                  });
-  stops.async_wait([&](boost::system::error_code ec, int) {
-    if (ec) return;
-    keeper.stop();
-    if (log) log->stop([&] { io.stop(); });
-    else io.stop();
-  });
-  io.run();
-  if (failed) std::rethrow_exception(failed);
-  return code;
+  return settings;
 }
 
-}  // namespace
+// A coordinator from its start, through the handshake with the others, to a signal that stops it.
+class Process {
+ public:
+  explicit Process(const Options& options)
+      : options_(options),
+        settings_(readSettings(options)),
+        io_(1),
+        signals_(io_, SIGTERM, SIGINT),
+        identity_(options.folder, settings_.fleet, options.number),
+        events_(options.log, fleet::EventLog::Role::coordinator, std::to_string(options.number)),
+        coordinator_(io_, settings_, options.number, identity_, machine_, events_),
+        adminSocket_(io_, options.folder + "/control.sock",
+                     [this](const json& request) { return answer(coordinator_, request); }),
+        handshake_(io_, settings_, options.number, identity_, events_,
+                   [this](const fleet::VoterHandshake::Result& result) { onHandshake(result); }) {
+    signals_.async_wait([this](boost::system::error_code cancelled, int) {
+      if (!cancelled) stop();
+    });
+  }
 
-int main(int argc, char** argv) {
-  std::signal(SIGPIPE, SIG_IGN);
-  CLI::App app{"cairnjunction-keeper: one of the keepers of a fleet (docs/operators/fleet.md)"};
+  // Returns once it is stopped. Throws what made it fail.
+  ExitCode run() {
+    io_.run();
+    if (error_) std::rethrow_exception(error_);
+    return exitCode_;
+  }
+
+ private:
+  void onHandshake(const fleet::VoterHandshake::Result& result) {
+    if (result.outcome == fleet::VoterHandshake::Result::Outcome::rejected) {
+      logError(result.reason);
+      exitCode_ = notAdmitted;
+      return io_.stop();
+    }
+    try {
+      startVoting();
+    } catch (...) {  // it is thrown by run(), not through the event loop's handler
+      error_ = std::current_exception();
+      io_.stop();
+    }
+  }
+
+  void startVoting() {
+    consensus::RaftOptions raft;
+    raft.folder = options_.folder + "/log";
+    raft.number = options_.number;
+    raft.listen = settings_.coordinator(options_.number)->raft;
+    for (const fleet::CoordinatorAddress& coordinator : settings_.coordinators)
+      raft.voters[coordinator.number] = coordinator.raft;
+    raft.electionTimeout = settings_.electionTimeout;
+    raft.heartbeatInterval = settings_.electionTimeout / 10;
+    raft.snapshotThreshold = options_.snapshotEvery;
+    std::filesystem::create_directory(raft.folder);
+    raftLog_ = std::make_unique<consensus::RaftLog>(io_, raft, machine_);
+    coordinator_.serve(*raftLog_);
+    events_.write(fleet::Event::votingStarted, {{"starts", identity_.own().startCount}});
+  }
+
+  void stop() {
+    coordinator_.stop();
+    if (raftLog_) raftLog_->stop([this] { io_.stop(); });
+    else io_.stop();
+  }
+
+  const Options options_;
+  const fleet::Settings settings_;
+  boost::asio::io_context io_;
+  boost::asio::signal_set signals_;
+  consensus::VoterIdentity identity_;
+  fleet::EventLog events_;
+  fleet::LeaseStateMachine machine_;
+  fleet::Coordinator coordinator_;
+  fleet::AdminSocket adminSocket_;
+  std::unique_ptr<consensus::RaftLog> raftLog_;  // null until the handshake has admitted this coordinator
+  std::exception_ptr error_;                     // what run() throws
+  ExitCode exitCode_ = stopped;
+  fleet::VoterHandshake handshake_;  // may call onHandshake at once
+};
+
+ExitCode runProgram(int argc, char** argv) {
+  CLI::App app{std::string(kProgram) + ": one of the coordinators of a fleet (docs/operators/fleet.md)"};
   app.footer(
-      "Exit codes: 0 stopped; 1 failed, or its log can't be read; 2 bad fleet file or command line; 3 turned "
-      "away by another keeper.");
+      "Exit codes: 0 stopped; 1 failed, or its log can't be read; 2 bad fleet file or command line; 3 "
+      "rejected "
+      "by another coordinator.");
   Options options;
   app.add_option("FILE", options.file, "the fleet file")->required();
-  app.add_option("--number", options.number, "which of its keepers this one is")->required();
+  app.add_option("--number", options.number, "which of its coordinators this one is")->required();
   app.add_option("--dir", options.folder, "its folder; an empty one for its first start")->required();
-  app.add_option("--log", options.log, "file for its lines; otherwise standard error");
+  app.add_option("--log", options.log, "file for its events; otherwise standard error");
   app.add_option("--snapshot-every", options.snapshotEvery, "entries of the log")
-      ->check(CLI::Range(16u, 1'000'000u))
+      ->check(CLI::Range(16U, 1'000'000U))
       ->capture_default_str();
   try {
     app.parse(argc, argv);
-    return serve(options);
   } catch (const CLI::ParseError& end) {
-    return app.exit(end) == 0 ? 0 : kBadSettings;
+    return app.exit(end) == 0 ? stopped : badSettings;
+  }
+  return Process(options).run();
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  try {
+    std::signal(SIGPIPE, SIG_IGN);
+    if (argc > 0 && std::filesystem::path(argv[0]).filename() == kFormerName)
+      std::cerr << kFormerName << " is now " << kProgram << '\n';
+    return runProgram(argc, argv);
   } catch (const fleet::BadSettings& bad) {
-    std::cerr << "cairnjunction-keeper: " << bad.what() << '\n';
-    return kBadSettings;
+    logError(bad.what());
+    return badSettings;
   } catch (const std::exception& bad) {
-    std::cerr << "cairnjunction-keeper: " << bad.what() << '\n';
-    return kFailed;
+    logError(bad.what());
+    return failed;
   }
 }
--- a/src/app/fleet_endpoint_lists.cpp
+++ b/src/app/fleet_endpoint_lists.cpp
@@ -1,4 +1,3 @@
-// A gateway's part in the fleet.
 #include "app/fleet_endpoint_lists.hpp"
 
 #include <algorithm>
@@ -9,11 +8,12 @@
 namespace cairnjunction {
 namespace {
 
-using boost::system::error_code;
 using fleet::bootTime;
+using fleet::Event;
 using nlohmann::json;
 
-const lease::LeaseKey kList{kListDuty, 0}, kStandby{kStandbyDuty, 0};
+lease::LeaseKey listKey() { return {kListTask, 0}; }
+lease::LeaseKey standbyKey() { return {kStandbyTask, 0}; }
 
 }  // namespace
 
@@ -21,97 +21,111 @@
                                        const std::string& name, DiscoveryClient& discovery, Engine& engine,
                                        const boost::asio::ip::tcp::endpoint& source,
                                        const std::optional<EndpointList>& known, bool pushed,
-                                       std::function<void(const EndpointList&)> told)
+                                       std::function<void(const EndpointList&)> onList)
     : discovery_(discovery),
-      told_(std::move(told)),
-      journal_(settings.log, "member", name),
+      onList_(std::move(onList)),
+      log_(settings.log, fleet::EventLog::Role::member, name),
       source_(textOf(source)),
       pushed_(pushed),
-      timer_(io) {
+      pollTimer_(io) {
   if (known) {
     held_ = *known;
-    gate_.onOwnList(source_, known->version);
+    filter_.onOwnList(source_, known->version);
   }
-  fleet::Member::Events events;
-  events.onLeaseChange = [this](const lease::LeaseKey& key, bool owns) { dutyChanged(key, owns); };
-  events.onCommand = [this](const fleet::Command& order) {
-    ordered(order);
-    if (probing_) probing_->ordered(order);
-  };
-  events.onJoined = [this] { hand(); };  // to a keeper that does not know the list yet
-  events.onIsolationChange = [this] { aloneChanged(); };
-  member_ = std::make_unique<fleet::Member>(io, settings, name, std::move(events), journal_);
-  const lease::TaskSpec* probe = settings.taskSpec(kProbeDuty);
+  member_ = std::make_unique<fleet::Member>(io, settings, name, memberEvents(), log_);
+  const lease::TaskSpec* probe = settings.taskSpec(kProbeTask);
   probing_ = std::make_unique<FleetProbing>(io, engine, *member_, probe ? probe->shards : 0,
                                             [this](const lease::LeaseKey& key, std::string body) {
                                               return member_->sendCommand(key, std::move(body), false);
                                             });
 }
 
-// --- Who asks discovery -----------------------------------------------------------------------------------
+fleet::Member::Events FleetEndpointLists::memberEvents() {
+  fleet::Member::Events events;
+  events.onLeaseChange = [this](const lease::LeaseKey& key, bool holds) { onLeaseChange(key, holds); };
+  events.onCommand = [this](const fleet::Command& command) {
+    onCommand(command);
+    if (probing_) probing_->onCommand(command);
+  };
+  // The leader may be another one than before, which has no list to send to members that join.
+  events.onJoined = [this] { sendList(); };
+  events.onIsolationChange = [this] { onIsolationChange(); };
+  return events;
+}
+
+// --- Who calls discovery
+// ------------------------------------------------------------------------------------
 
-bool FleetEndpointLists::asks() const { return pushed_ || asking_.shouldPoll(bootTime()); }
+bool FleetEndpointLists::pollsDiscovery() const { return pushed_ || polling_.shouldPoll(bootTime()); }
 
-void FleetEndpointLists::dutyChanged(const lease::LeaseKey& key, bool owns) {
-  if (key != kList && key != kStandby) return;
-  // The heir has become the owner; another one is to stand by.
-  if (key == kList && owns && member_->holds(kStandby)) member_->release(kStandby, false);
-  asking_.onLeaseChange(member_->holds(kList) || member_->holds(kStandby));
+void FleetEndpointLists::onLeaseChange(const lease::LeaseKey& key, bool holds) {
+  if (key != listKey() && key != standbyKey()) return;
+  // The standby has become the holder: another member is to stand by.
+  if (key == listKey() && holds && member_->holds(standbyKey())) member_->release(standbyKey(), false);
+  polling_.onLeaseChange(member_->holds(listKey()) || member_->holds(standbyKey()));
   failingSince_.reset();
-  decide();
-  if (key == kList && owns) hand();
+  updateWatch();
+  if (key == listKey() && holds) sendList();
 }
 
-void FleetEndpointLists::aloneChanged() {
-  asking_.onIsolationChange(member_->isIsolated(), bootTime(), member_->memberCount(),
-                            !held_.endpoints.empty(), std::uniform_real_distribution<double>(0, 1)(random_));
-  decide();
+void FleetEndpointLists::onIsolationChange() {
+  polling_.onIsolationChange(member_->isIsolated(), bootTime(), member_->memberCount(),
+                             !held_.endpoints.empty(), draw());
+  updateWatch();
 }
 
-// Danger: a watch that goes on beside the owner's lists is only load, but one that is stopped before a list
-// came would leave the gateway with nobody to hear from; so it is stopped when an order is taken (ordered()).
-void FleetEndpointLists::decide() {
-  if (asks()) {
+// Begins to watch discovery, now or later. A watch is not ended here: until a list of the lease holder has
+// come, the gateway would hear from nobody (acceptList ends it), and meanwhile it costs discovery no more
+// than some load.
+void FleetEndpointLists::updateWatch() {
+  if (pollsDiscovery()) {
     if (std::exchange(watching_, true)) return;
-    if (gate_.held()) discovery_.setKnownVersion(gate_.held()->version);
+    if (filter_.held()) discovery_.setKnownVersion(filter_.held()->version);
     return discovery_.watch();
   }
-  if (const auto at = asking_.pollsAt()) {
-    timer_.expires_after(std::max(*at - bootTime(), lease::Duration(1)));
-    timer_.async_wait(lifetime_.guard([this](error_code ec) {
-      if (!ec) decide();
+  if (const auto at = polling_.pollsAt()) {
+    pollTimer_.expires_after(std::max(*at - bootTime(), lease::Duration(1)));
+    pollTimer_.async_wait(lifetime_.guard([this](boost::system::error_code cancelled) {
+      if (!cancelled) updateWatch();
     }));
   }
 }
 
 void FleetEndpointLists::subscribe() {
-  if (!asks()) return;
+  if (!pollsDiscovery()) return;
   watching_ = true;
   discovery_.watch();
 }
 
-void FleetEndpointLists::doubted() {
-  if (asks()) discovery_.refresh();
+void FleetEndpointLists::resync() {
+  if (pollsDiscovery()) discovery_.refresh();
 }
 
-// One call of each member on the new one, as without a fleet; whoever does not ask hears the owner from there
-// on.
+// Each member calls the new discovery once, as without a fleet; those that don't poll are sent lists from
+// there on.
 void FleetEndpointLists::moveTo(const boost::asio::ip::tcp::endpoint& source) {
   const std::string before = std::exchange(source_, textOf(source));
   if (before == source_) return;
-  gate_.onSourceChange(before, source_);
+  filter_.onSourceChange(before, source_);
   watching_ = true;
   discovery_.moveTo(source);
 }
 
+void FleetEndpointLists::leave() {
+  member_->leave([] {});
+}
+
 void FleetEndpointLists::discoveryFailed() {
   if (!failingSince_) failingSince_ = bootTime();
-  if (bootTime() - *failingSince_ < kFailMost) return;
-  for (const lease::LeaseKey& key : {kList, kStandby})
+  if (bootTime() - *failingSince_ < kMaxDiscoveryFailure) return;
+  for (const lease::LeaseKey& key : {listKey(), standbyKey()})
     if (member_->holds(key)) member_->release(key, true);
 }
 
-// --- Lists ------------------------------------------------------------------------------------------------
+// --- Lists
+// --------------------------------------------------------------------------------------------------
+
+bool FleetEndpointLists::holdsList() const { return member_ && member_->holds(listKey()); }
 
 void FleetEndpointLists::merge(const EndpointList& list) {
   if (list.full) {
@@ -119,78 +133,85 @@
     return;
   }
   held_.version = list.version;
-  for (const DiscoveredEndpoint& host : list.endpoints) {
+  for (const DiscoveredEndpoint& endpoint : list.endpoints) {
     const auto known = std::find_if(held_.endpoints.begin(), held_.endpoints.end(),
-                                    [&](const auto& h) { return h.uid == host.uid; });
-    if (host.state == DiscoveredState::gone) {
+                                    [&](const DiscoveredEndpoint& each) { return each.uid == endpoint.uid; });
+    if (endpoint.state == DiscoveredState::gone) {
       if (known != held_.endpoints.end()) held_.endpoints.erase(known);
     } else if (known != held_.endpoints.end()) {
-      *known = host;
+      *known = endpoint;
     } else {
-      held_.endpoints.push_back(host);
+      held_.endpoints.push_back(endpoint);
     }
   }
 }
 
 void FleetEndpointLists::fromDiscovery(const EndpointList& list) {
   failingSince_.reset();
-  // What only says that nothing has changed is no news to the others.
-  const bool news = !gate_.held() || list.full || !list.endpoints.empty();
-  gate_.onOwnList(source_, list.version);
+  // An answer that only says that nothing has changed is not sent to the others.
+  const bool changed = !filter_.held() || list.full || !list.endpoints.empty();
+  filter_.onOwnList(source_, list.version);
   merge(list);
-  if (news) journal_.line("list-told", {{"version", list.version}, {"hosts", held_.endpoints.size()}});
-  told_(list);
-  if (news) hand();
+  if (changed)
+    log_.write(Event::listReceived, {{"version", list.version}, {"hosts", held_.endpoints.size()}});
+  onList_(list);
+  if (changed) sendList();
 }
 
-// To all, by whoever owns the list; what is held may also have come from the last owner.
-void FleetEndpointLists::hand() {
-  if (!ownsList() || !gate_.held()) return;
+// To all members, as lease holder. The list may also be one that the former holder has sent.
+void FleetEndpointLists::sendList() {
+  if (!holdsList() || !filter_.held()) return;
   json body = toJson(held_);
-  body["source"] = gate_.held()->source;
-  body["era"] = gate_.held()->epoch;
-  if (member_->sendCommand(kList, body.dump(), true)) ++handed_;
+  body["source"] = filter_.held()->source;
+  body["era"] = filter_.held()->epoch;
+  if (member_->sendCommand(listKey(), body.dump(), true)) ++sentLists_;
 }
 
-void FleetEndpointLists::ordered(const fleet::Command& order) {
-  if (order.token.key != kList || order.token.holder == member_->self()) return;
+void FleetEndpointLists::onCommand(const fleet::Command& command) {
+  if (command.token.key != listKey() || command.token.holder == member_->self()) return;
   try {
-    const json body = json::parse(order.body);
+    const json body = json::parse(command.body);
     EndpointList list = parseEndpointList(body);
-    const fleet::EndpointListVersion mark{body.value("source", ""), body.value("era", std::uint64_t{0}),
-                                          list.version};
     list.full = true;
-    if (!gate_.accept(mark)) {
-      ++passedOver_;
-      journal_.order("list-passed-over", order.token,
-                     {{"version", list.version}, {"held", gate_.held()->version}});
-      asking_.onListRejected(bootTime(), member_->memberCount(),
-                             std::uniform_real_distribution<double>(0, 1)(random_));
-      return decide();
-    }
-    ++taken_;
-    asking_.onListAccepted(member_->isIsolated());
-    merge(list);
-    journal_.order("list-taken", order.token, {{"version", list.version}, {"hosts", list.endpoints.size()}});
-    if (!asks() && std::exchange(watching_, false)) discovery_.stop();
-    told_(held_);
-  } catch (const std::exception& bad) {  // of another version, or nonsense: the list held stays
-    journal_.order("list-unreadable", order.token, {{"why", bad.what()}});
+    const fleet::EndpointListVersion version{body.value("source", ""), body.value("era", std::uint64_t{0}),
+                                             list.version};
+    if (filter_.accept(version)) acceptList(command, list);
+    else rejectList(command, list);
+  } catch (const std::exception& bad) {  // of another version of this program; the list that is held stays
+    log_.writeCommand(Event::listInvalid, command.token, {{"why", bad.what()}});
   }
 }
 
+void FleetEndpointLists::acceptList(const fleet::Command& command, const EndpointList& list) {
+  ++acceptedLists_;
+  polling_.onListAccepted(member_->isIsolated());
+  merge(list);
+  log_.writeCommand(Event::listAccepted, command.token,
+                    {{"version", list.version}, {"hosts", list.endpoints.size()}});
+  if (!pollsDiscovery() && std::exchange(watching_, false)) discovery_.stop();
+  onList_(held_);
+}
+
+void FleetEndpointLists::rejectList(const fleet::Command& command, const EndpointList& list) {
+  ++rejectedLists_;
+  const std::int64_t heldVersion = filter_.held() ? filter_.held()->version : 0;
+  log_.writeCommand(Event::listRejected, command.token, {{"version", list.version}, {"held", heldVersion}});
+  polling_.onListRejected(bootTime(), member_->memberCount(), draw());
+  updateWatch();
+}
+
 std::vector<std::pair<std::string, std::uint64_t>> FleetEndpointLists::figures() const {
   return {{"fleet.alone", member_->isIsolated()},
           {"fleet.joined", member_->hasJoined()},
           {"fleet.members", member_->memberCount()},
-          {"fleet.owns_list", ownsList()},
-          {"fleet.asks_discovery", asks()},
+          {"fleet.owns_list", holdsList()},
+          {"fleet.asks_discovery", pollsDiscovery()},
           {"fleet.orders_refused", member_->rejectedCommands()},
           {"fleet.hosts_left_to_others", probing_->leftToOthers()},
           {"fleet.probes", probing_->probes()},
-          {"fleet.lists_taken", taken_},
-          {"fleet.lists_passed_over", passedOver_},
-          {"fleet.lists_handed", handed_}};
+          {"fleet.lists_taken", acceptedLists_},
+          {"fleet.lists_passed_over", rejectedLists_},
+          {"fleet.lists_handed", sentLists_}};
 }
 
 }  // namespace cairnjunction
--- a/src/app/gateway.cpp
+++ b/src/app/gateway.cpp
@@ -196,7 +196,7 @@
 }
 
 void Gateway::requestResync() {
-  if (fleet_) fleet_->doubted();
+  if (fleet_) fleet_->resync();
   else discovery_.refresh();
 }
 
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -171,21 +171,7 @@
   routing->add_option("PATH", route.paths, "paths, perhaps with arguments")->required();
   routing->add_option("--host", route.host, "as the client names it");
   routing->add_option("--method", route.method, "")->capture_default_str();
-  cairnjunction::FleetWords words;
-  CLI::App* fleet = app.add_subcommand("fleet", "keepers and duties of a fleet (docs/operators/fleet.md)");
-  fleet->require_subcommand(1);
-  CLI::App* status = fleet->add_subcommand("status", "a keeper and its members");
-  CLI::App* duties = fleet->add_subcommand("duties", "who owns which duty, under which epoch");
-  CLI::App* handOver = fleet->add_subcommand("hand-over", "ask the owner of a duty to give it back");
-  for (CLI::App* command : {status, duties, handOver}) {
-    command->add_option("--socket", words.socket, "control.sock in the keeper's folder")->required();
-    command->add_flag("--json", words.json, "for programs");
-  }
-  handOver->add_option("DUTY", words.duty, "")->required();
-  handOver->add_option("--shard", words.shard, "")->capture_default_str();
-  CLI::App* keeper =
-      fleet->add_subcommand("keeper", "run a keeper; its words are those of cairnjunction-keeper");
-  keeper->prefix_command();
+  cairnjunction::FleetCommands fleet(app);
   app.add_option("--fleet", files.fleet, "a fleet file (docs/operators/fleet.md); off without");
   app.require_subcommand(0, 1);
   try {
@@ -196,13 +182,7 @@
   if (*checking) return check(checked);
   if (*nginx) return cairnjunction::importNginx(import, std::cout, std::cerr);
   if (*routing) return cairnjunction::showRoutes(route, std::cout, std::cerr);
-  if (*status) return cairnjunction::fleetStatus(words, std::cout);
-  if (*duties) return cairnjunction::fleetDuties(words, std::cout);
-  if (*handOver) return cairnjunction::fleetHandOver(words, std::cout);
-  if (*keeper) {
-    words.keeper = keeper->remaining();
-    cairnjunction::becomeKeeper(words);
-  }
+  if (fleet.isChosen()) return fleet.run(std::cout);
   if (*showing) return cairnjunction::runDemo(demo, std::cout);
   if (files.config.empty() && !std::getenv("GW_CONFIG"))
     throw BadConfig("no configuration: give --config FILE or set GW_CONFIG; 'cairnjunction demo' needs none");
--- a/src/fleet/admin_socket.cpp
+++ b/src/fleet/admin_socket.cpp
@@ -1,4 +1,3 @@
-// The operators' way to a keeper.
 #include "fleet/admin_socket.hpp"
 
 #include <sys/socket.h>
@@ -8,7 +7,9 @@
 #include <boost/asio/read_until.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <boost/asio/write.hpp>
+#include <memory>
 #include <stdexcept>
+#include <utility>
 
 namespace cairnjunction::fleet {
 
@@ -16,27 +17,42 @@
 using boost::system::error_code;
 using nlohmann::json;
 
-struct AdminSocket::Caller {
+namespace {
+
+constexpr mode_t kOnlyItsUser = 0177;  // what is masked out
+
+bool mayConnect(stream_protocol::socket& socket) {
+  ucred peer{};
+  socklen_t size = sizeof peer;
+  const bool known = ::getsockopt(socket.native_handle(), SOL_SOCKET, SO_PEERCRED, &peer, &size) == 0;
+  return known && (peer.uid == 0 || peer.uid == ::geteuid());
+}
+
+}  // namespace
+
+struct AdminSocket::Client {
   stream_protocol::socket socket;
   boost::asio::steady_timer timer;
-  std::function<void()> over;  // its end, whichever way, makes room for another one
-  std::string text;
+  std::function<void()> onEnd;
+  std::string text;  // the request, then the answer
 
-  Caller(stream_protocol::socket s, std::function<void()> o)
-      : socket(std::move(s)), timer(socket.get_executor()), over(std::move(o)) {}
-  ~Caller() { over(); }
+  Client(stream_protocol::socket accepted, std::function<void()> ended)
+      : socket(std::move(accepted)), timer(socket.get_executor()), onEnd(std::move(ended)) {}
+  ~Client() { onEnd(); }
+  Client(const Client&) = delete;
+  Client& operator=(const Client&) = delete;
 };
 
-AdminSocket::AdminSocket(boost::asio::io_context& io, const std::string& path, Answer answer)
-    : path_(path), acceptor_(io), answer_(std::move(answer)) {
-  ::unlink(path.c_str());
-  // Nobody else may connect, from the first moment on.
-  const mode_t before = ::umask(0177);
-  error_code ec;
+AdminSocket::AdminSocket(boost::asio::io_context& io, std::string path, Handler handler)
+    : path_(std::move(path)), acceptor_(io), handler_(std::move(handler)) {
+  ::unlink(path_.c_str());
+  // The mode is set by the mask, so that there is no moment in which others may connect.
+  const mode_t before = ::umask(kOnlyItsUser);
+  error_code error;
   acceptor_.open();
-  acceptor_.bind(stream_protocol::endpoint(path), ec);
+  acceptor_.bind(stream_protocol::endpoint(path_), error);
   ::umask(before);
-  if (ec) throw boost::system::system_error(ec, path);
+  if (error) throw boost::system::system_error(error, path_);
   acceptor_.listen();
   accept();
 }
@@ -44,46 +60,46 @@
 AdminSocket::~AdminSocket() { ::unlink(path_.c_str()); }
 
 void AdminSocket::accept() {
-  acceptor_.async_accept(lifetime_.guard([this](error_code ec, stream_protocol::socket socket) {
-    if (ec) return;
+  acceptor_.async_accept(lifetime_.guard([this](error_code error, stream_protocol::socket socket) {
+    if (error) return;
     accept();
-    ucred peer{};
-    socklen_t size = sizeof peer;
-    const bool known = ::getsockopt(socket.native_handle(), SOL_SOCKET, SO_PEERCRED, &peer, &size) == 0;
-    if (!known || (peer.uid != 0 && peer.uid != ::geteuid()) || callers_ >= kCallersMost) return;
-    ++callers_;
-    const auto caller = std::make_shared<Caller>(std::move(socket), lifetime_.guard([this] { --callers_; }));
-    caller->timer.expires_after(kPatience);
-    caller->timer.async_wait([weak = std::weak_ptr<Caller>(caller)](error_code stopped) {
-      const auto c = weak.lock();
-      if (!stopped && c) c->socket.close();
-    });
-    boost::asio::async_read_until(
-        caller->socket, boost::asio::dynamic_buffer(caller->text, kLineMost), '\n',
-        lifetime_.guard([this, caller](error_code readError, std::size_t n) {
-          if (readError) return;
-          const json question = json::parse(caller->text.substr(0, n), nullptr, false);
-          const json answer =
-              question.is_object() ? answer_(question) : json{{"error", "expected a JSON object"}};
-          caller->text = answer.dump() + "\n";
-          boost::asio::async_write(caller->socket, boost::asio::buffer(caller->text),
-                                   [caller](error_code, std::size_t) {});
-        }));
+    if (mayConnect(socket) && clients_ < kMaxClients) serve(std::move(socket));
   }));
 }
 
-json queryAdminSocket(const std::string& path, const json& question) {
+void AdminSocket::serve(stream_protocol::socket socket) {
+  ++clients_;
+  const auto client = std::make_shared<Client>(std::move(socket), lifetime_.guard([this] { --clients_; }));
+  client->timer.expires_after(kClientTimeout);
+  client->timer.async_wait([weak = std::weak_ptr<Client>(client)](error_code cancelled) {
+    const auto late = weak.lock();
+    if (!cancelled && late) late->socket.close();
+  });
+  boost::asio::async_read_until(
+      client->socket, boost::asio::dynamic_buffer(client->text, kMaxRequestBytes), '\n',
+      lifetime_.guard([this, client](error_code error, std::size_t size) {
+        if (error) return;
+        const json request = json::parse(client->text.substr(0, size), nullptr, false);
+        const json answer =
+            request.is_object() ? handler_(request) : json{{"error", "expected a JSON object"}};
+        client->text = answer.dump() + "\n";
+        boost::asio::async_write(client->socket, boost::asio::buffer(client->text),
+                                 [client](error_code, std::size_t) {});
+      }));
+}
+
+json queryAdminSocket(const std::string& path, const json& request) {
   boost::asio::io_context io;
   stream_protocol::socket socket(io);
-  error_code ec;
-  socket.connect(stream_protocol::endpoint(path), ec);
-  if (ec) throw std::runtime_error(path + ": " + ec.message());
-  boost::asio::write(socket, boost::asio::buffer(question.dump() + "\n"), ec);
+  error_code error;
+  socket.connect(stream_protocol::endpoint(path), error);
+  if (error) throw std::runtime_error(path + ": " + error.message());
+  boost::asio::write(socket, boost::asio::buffer(request.dump() + "\n"), error);
   std::string text;
-  if (!ec) boost::asio::read_until(socket, boost::asio::dynamic_buffer(text), '\n', ec);
-  const json answer = json::parse(text, nullptr, false);
-  if (ec || answer.is_discarded())
-    throw std::runtime_error(path + ": no answer" + (ec ? ": " + ec.message() : std::string()) +
+  if (!error) boost::asio::read_until(socket, boost::asio::dynamic_buffer(text), '\n', error);
+  json answer = json::parse(text, nullptr, false);
+  if (error || answer.is_discarded())
+    throw std::runtime_error(path + ": no answer" + (error ? ": " + error.message() : std::string()) +
                              " (only the keeper's user and root are answered)");
   if (answer.contains("error")) throw std::runtime_error(answer["error"].get<std::string>());
   return answer;
--- a/src/fleet/admin_socket.hpp
+++ b/src/fleet/admin_socket.hpp
@@ -1,11 +1,12 @@
-// The operators' way to a keeper on its own machine: a Unix socket that only its user and root may use. One
-// line of JSON is asked, one is answered.
+// The operators' access to a coordinator on its own machine: a Unix socket that only its user and root may
+// use. A client sends one line of JSON, is sent one line of JSON, and the connection ends.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/local/stream_protocol.hpp>
+#include <chrono>
+#include <cstddef>
 #include <functional>
-#include <memory>
 #include <nlohmann/json.hpp>
 #include <string>
 
@@ -15,30 +16,34 @@
 
 class AdminSocket {
  public:
-  static constexpr std::size_t kLineMost = 4096;  // bytes of a question
-  static constexpr std::size_t kCallersMost = 8;
-  static constexpr std::chrono::seconds kPatience{5};
+  static constexpr std::size_t kMaxRequestBytes = 4096;
+  static constexpr std::size_t kMaxClients = 8;  // at a time; further ones are disconnected
+  // From accepting a client to the end of its connection.
+  static constexpr std::chrono::seconds kClientTimeout{5};
 
-  using Answer = std::function<nlohmann::json(const nlohmann::json& question)>;  // must not throw
+  // Given an object; returns the answer, an object or array. Must not throw.
+  using Handler = std::function<nlohmann::json(const nlohmann::json& request)>;
 
-  // Takes the path over from a process that is gone. Throws boost::system::system_error.
-  AdminSocket(boost::asio::io_context& io, const std::string& path, Answer answer);
+  // Replaces a socket that a former process left at `path`. Throws boost::system::system_error.
+  AdminSocket(boost::asio::io_context& io, std::string path, Handler handler);
   ~AdminSocket();
   AdminSocket(const AdminSocket&) = delete;
   AdminSocket& operator=(const AdminSocket&) = delete;
 
  private:
-  struct Caller;
+  struct Client;
   void accept();
+  void serve(boost::asio::local::stream_protocol::socket socket);
 
-  std::string path_;
+  const std::string path_;
   boost::asio::local::stream_protocol::acceptor acceptor_;
-  Answer answer_;
-  std::size_t callers_ = 0;
+  Handler handler_;
+  std::size_t clients_ = 0;  // connected now; at most kMaxClients
   CallbackGuard lifetime_;
 };
 
-// Asks and waits for the answer. Throws std::runtime_error with what failed.
-nlohmann::json queryAdminSocket(const std::string& path, const nlohmann::json& question);
+// Sends `request` to the socket at `path` and waits for the answer. Throws std::runtime_error with what
+// failed, or with the answer's "error".
+nlohmann::json queryAdminSocket(const std::string& path, const nlohmann::json& request);
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/boot_clock.hpp
+++ b/src/fleet/boot_clock.hpp
@@ -1,7 +1,7 @@
-// The clock of leases: since the machine booted, sleep included, and never stepped.
+// The clock by which a member counts its leases: since the machine booted, sleep included, and never stepped.
 #pragma once
 
-#include <time.h>
+#include <ctime>
 
 #include "lease/lease.hpp"
 
--- a/src/fleet/event_log.cpp
+++ b/src/fleet/event_log.cpp
@@ -1,17 +1,26 @@
-// Structured lines of members and keepers.
 #include "fleet/event_log.hpp"
 
 #include <spdlog/sinks/basic_file_sink.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
+#include <utility>
+
 #include "fleet/boot_clock.hpp"
 
 namespace cairnjunction::fleet {
+namespace {
+
+constexpr std::int64_t kMillisecondsPerSecond = 1000;
+
+// The key under which the writer's name stands.
+const char* keyOf(EventLog::Role role) { return role == EventLog::Role::member ? "member" : "keeper"; }
+
+}  // namespace
 
 nlohmann::json fieldsOf(const lease::LeaseKey& key) { return {{"duty", key.task}, {"shard", key.shard}}; }
 
-EventLog::EventLog(const std::string& file, const char* role, std::string self)
+EventLog::EventLog(const std::string& file, Role role, std::string self)
     : role_(role), self_(std::move(self)) {
   spdlog::sink_ptr sink;
   if (file.empty()) sink = std::make_shared<spdlog::sinks::stderr_sink_st>();
@@ -23,27 +32,31 @@
 
 EventLog::~EventLog() = default;
 
-void EventLog::line(std::string_view event, nlohmann::json fields) {
+void EventLog::write(Event event, nlohmann::json fields) {
   const std::int64_t now = bootTime().time_since_epoch().count();
-  if (now / 1000 != second_) second_ = now / 1000, lines_ = 0;
-  if (++lines_ > kLinesASecond) {
-    ++leftOut_;
+  const std::int64_t second = now / kMillisecondsPerSecond;
+  if (second != second_) {
+    second_ = second;
+    linesThisSecond_ = 0;
+  }
+  if (++linesThisSecond_ > kMaxLinesPerSecond) {
+    ++droppedLines_;
     return;
   }
   fields["boot_ms"] = now;
-  fields["event"] = event;
-  fields[role_] = self_;
-  if (leftOut_ > 0) fields["lines_left_out"] = std::exchange(leftOut_, 0);
+  fields["event"] = nameOf(event);
+  fields[keyOf(role_)] = self_;
+  if (droppedLines_ > 0) fields["lines_left_out"] = std::exchange(droppedLines_, 0);
   log_->info(fields.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
-void EventLog::order(std::string_view event, const lease::FencingToken& id, nlohmann::json fields) {
-  fields.update(fieldsOf(id.key));
-  fields["epoch"] = id.epoch;
-  fields["sequence"] = id.sequence;
-  fields["from"] = id.holder.name;
-  fields["from_incarnation"] = id.holder.incarnation;
-  line(event, std::move(fields));
+void EventLog::writeCommand(Event event, const lease::FencingToken& token, nlohmann::json fields) {
+  fields.update(fieldsOf(token.key));
+  fields["epoch"] = token.epoch;
+  fields["sequence"] = token.sequence;
+  fields["from"] = token.holder.name;
+  fields["from_incarnation"] = token.holder.incarnation;
+  write(event, std::move(fields));
 }
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/fencing_file.cpp
+++ b/src/fleet/fencing_file.cpp
@@ -1,4 +1,3 @@
-// Where a receiver keeps what its fence has seen: JSON, replaced whole.
 #include "fleet/fencing_file.hpp"
 
 #include <fstream>
@@ -14,24 +13,25 @@
 FencingFile::FencingFile(const std::string& folder)
     : folder_(folder), path_(folder.empty() ? "" : folder + "/fence.json") {}
 
-bool FencingFile::read(std::map<lease::LeaseKey, lease::FencingGate::FencingMark>& to) const {
-  if (path_.empty()) return false;
+std::optional<FencingMarks> FencingFile::read() const {
+  if (!isEnabled()) return std::nullopt;
   std::ifstream file(path_);
-  if (!file) return false;
+  if (!file) return std::nullopt;
+  FencingMarks marks;
   try {
     for (const json& row : json::parse(file))
-      to[{row.at("duty").get<std::string>(), row.at("shard").get<std::uint32_t>()}] = {
+      marks[{row.at("duty").get<std::string>(), row.at("shard").get<std::uint32_t>()}] = {
           row.at("epoch").get<lease::Epoch>(),
           row.at("sequence").get<lease::Sequence>(),
           {row.at("from").get<std::string>(), row.at("incarnation").get<lease::Incarnation>()}};
   } catch (const json::exception& bad) {
     throw std::runtime_error(path_ + ": " + bad.what());
   }
-  return true;
+  return marks;
 }
 
-bool FencingFile::write(const std::map<lease::LeaseKey, lease::FencingGate::FencingMark>& marks) const {
-  if (path_.empty()) return true;
+FencingFile::WriteResult FencingFile::write(const FencingMarks& marks) const {
+  if (!isEnabled()) return WriteResult::durable;
   json rows = json::array();
   for (const auto& [key, mark] : marks)
     rows.push_back({{"duty", key.task},
@@ -40,7 +40,8 @@
                     {"sequence", mark.sequence},
                     {"from", mark.holder.name},
                     {"incarnation", mark.holder.incarnation}});
-  return consensus::replaceFile(folder_, path_, rows.dump(1) + "\n").empty();
+  const std::string error = consensus::replaceFile(folder_, path_, rows.dump(1) + "\n");
+  return error.empty() ? WriteResult::durable : WriteResult::failed;
 }
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/frame.cpp
+++ b/src/fleet/frame.cpp
@@ -1,153 +1,198 @@
-// Frames as MessagePack.
 #include "fleet/frame.hpp"
 
 #include <msgpack.hpp>
+#include <tuple>
+#include <utility>
 
 namespace cairnjunction::fleet {
 namespace {
 
 using lease::Epoch;
 using lease::LeaseKey;
-using lease::Member;
 using lease::Sequence;
 
-const msgpack::unpack_limit kLimit(4096, 4096, kFrameMost, kFrameMost, 0, 6);
+// Entries of one array or map, and depth of nesting, that are read.
+constexpr std::size_t kMaxEntries = 4096;
+constexpr std::size_t kMaxDepth = 6;
+const msgpack::unpack_limit kUnpackLimit(kMaxEntries, kMaxEntries, kMaxFrameBytes, kMaxFrameBytes, 0,
+                                         kMaxDepth);
 
-// Each message as a tuple of plain values, and back. One line for each direction and message.
-using KeyRow = std::tuple<std::string, std::uint32_t>;
+// Each message as a tuple of plain values (`rowOf`), and back (`fill`). The order of the values is the
+// wire's.
 using MarkRow = std::tuple<std::string, std::uint32_t, Epoch, Sequence>;
 using GrantRow = std::tuple<std::string, std::uint32_t, Epoch, Sequence, std::int64_t, std::int64_t>;
 using LostRow = std::tuple<std::string, std::uint32_t, Epoch>;
+using JoinRequestRow = std::tuple<int, std::string, std::string, lease::Incarnation, std::string, bool>;
+using VoterHandshakeRequestRow = std::tuple<int, std::string, int, std::uint64_t, std::uint64_t>;
+using VoterHandshakeResponseRow = std::tuple<int, std::uint64_t, std::uint64_t, std::string>;
+using JoinResponseRow = std::tuple<int, std::uint32_t, std::vector<MarkRow>>;
+using HeartbeatRow = std::tuple<std::int64_t, std::vector<MarkRow>>;
+using HeartbeatResponseRow = std::tuple<std::uint32_t, std::vector<GrantRow>, std::vector<LostRow>>;
+using ReleaseLeaseRow = std::tuple<std::string, std::uint32_t, Epoch, bool>;
+using CommandRow = std::tuple<std::string, std::uint32_t, Epoch, Sequence, std::string, lease::Incarnation,
+                              bool, std::string>;
 
-std::tuple<int, std::string, std::string, lease::Incarnation, std::string, bool> row(const JoinRequest& m) {
-  return {m.protocol, m.fleet, m.member.name, m.member.incarnation, m.zone, m.willing};
+JoinRequestRow rowOf(const JoinRequest& message) {
+  return {message.protocol,           message.fleet, message.member.name,
+          message.member.incarnation, message.zone,  message.eligible};
 }
-std::tuple<int, std::string, int, std::uint64_t, std::uint64_t> row(const VoterHandshakeRequest& m) {
-  return {m.protocol, m.fleet, m.number, m.mark.incarnation, m.mark.startCount};
+void fill(JoinRequest& message, JoinRequestRow row) {
+  std::tie(message.protocol, message.fleet, message.member.name, message.member.incarnation, message.zone,
+           message.eligible) = std::move(row);
 }
-std::tuple<int, std::uint64_t, std::uint64_t, std::string> row(const VoterHandshakeResponse& m) {
-  return {m.number, m.mark.incarnation, m.mark.startCount, m.rejection};
-}
-std::tuple<int, std::uint32_t, std::vector<MarkRow>> row(const JoinResponse& m) {
-  std::vector<MarkRow> marks;
-  for (const auto& [key, mark] : m.marks) marks.emplace_back(key.task, key.shard, mark.epoch, mark.sequence);
-  return {m.coordinator, m.members, marks};
+
+VoterHandshakeRequestRow rowOf(const VoterHandshakeRequest& message) {
+  return {message.protocol, message.fleet, message.number, message.mark.incarnation, message.mark.startCount};
 }
-std::tuple<int> row(const NotLeader& m) { return {m.leader}; }
-std::tuple<std::string> row(const JoinRejected& m) { return {m.reason}; }
-std::tuple<std::int64_t, std::vector<MarkRow>> row(const Heartbeat& m) {
-  std::vector<MarkRow> held;
-  for (const auto& h : m.held) held.emplace_back(h.key.task, h.key.shard, h.epoch, h.sequence);
-  return {m.sentAt.time_since_epoch().count(), held};
+void fill(VoterHandshakeRequest& message, VoterHandshakeRequestRow row) {
+  std::tie(message.protocol, message.fleet, message.number, message.mark.incarnation,
+           message.mark.startCount) = std::move(row);
 }
-std::tuple<std::uint32_t, std::vector<GrantRow>, std::vector<LostRow>> row(const HeartbeatResponse& m) {
-  std::vector<GrantRow> granted;
-  for (const LeaseGrant& g : m.granted)
-    granted.emplace_back(g.key.task, g.key.shard, g.epoch, g.sequence, g.askedAt.time_since_epoch().count(),
-                         g.leaseDuration.count());
-  std::vector<LostRow> lost;
-  for (const auto& [key, epoch] : m.lost) lost.emplace_back(key.task, key.shard, epoch);
-  return {m.members, granted, lost};
+
+VoterHandshakeResponseRow rowOf(const VoterHandshakeResponse& message) {
+  return {message.number, message.mark.incarnation, message.mark.startCount, message.rejection};
 }
-std::tuple<std::string, std::uint32_t, Epoch, bool> row(const ReleaseLease& m) {
-  return {m.key.task, m.key.shard, m.epoch, m.failed};
+void fill(VoterHandshakeResponse& message, VoterHandshakeResponseRow row) {
+  std::tie(message.number, message.mark.incarnation, message.mark.startCount, message.rejection) =
+      std::move(row);
 }
-std::tuple<std::string, std::uint32_t, Epoch> row(const TransferLease& m) {
-  return {m.key.task, m.key.shard, m.epoch};
+
+JoinResponseRow rowOf(const JoinResponse& message) {
+  std::vector<MarkRow> marks;
+  marks.reserve(message.marks.size());
+  for (const auto& [key, mark] : message.marks)
+    marks.emplace_back(key.task, key.shard, mark.epoch, mark.sequence);
+  return {message.coordinator, message.members, std::move(marks)};
 }
-std::tuple<std::string, std::uint32_t, Epoch, Sequence, std::string, lease::Incarnation, bool, std::string>
-row(const Command& m) {
-  return {m.token.key.task,    m.token.key.shard,          m.token.epoch, m.token.sequence,
-          m.token.holder.name, m.token.holder.incarnation, m.retained,    m.body};
+void fill(JoinResponse& message, JoinResponseRow row) {
+  std::vector<MarkRow> marks;
+  std::tie(message.coordinator, message.members, marks) = std::move(row);
+  for (auto& [task, shard, epoch, sequence] : marks)
+    message.marks[{std::move(task), shard}] = {epoch, sequence, {}};
 }
-std::tuple<> row(const Leave&) { return {}; }
 
-template <class T>
-using RowOf = decltype(row(std::declval<T>()));
+std::tuple<int> rowOf(const NotLeader& message) { return {message.leader}; }
+void fill(NotLeader& message, std::tuple<int> row) { std::tie(message.leader) = row; }
 
-void fill(JoinRequest& m, RowOf<JoinRequest> r) {
-  std::tie(m.protocol, m.fleet, m.member.name, m.member.incarnation, m.zone, m.willing) = std::move(r);
-}
-void fill(VoterHandshakeRequest& m, RowOf<VoterHandshakeRequest> r) {
-  std::tie(m.protocol, m.fleet, m.number, m.mark.incarnation, m.mark.startCount) = std::move(r);
-}
-void fill(VoterHandshakeResponse& m, RowOf<VoterHandshakeResponse> r) {
-  std::tie(m.number, m.mark.incarnation, m.mark.startCount, m.rejection) = std::move(r);
+std::tuple<std::string> rowOf(const JoinRejected& message) { return {message.reason}; }
+void fill(JoinRejected& message, std::tuple<std::string> row) { std::tie(message.reason) = std::move(row); }
+
+HeartbeatRow rowOf(const Heartbeat& message) {
+  std::vector<MarkRow> held;
+  held.reserve(message.held.size());
+  for (const auto& lease : message.held)
+    held.emplace_back(lease.key.task, lease.key.shard, lease.epoch, lease.sequence);
+  return {message.sentAt.time_since_epoch().count(), std::move(held)};
 }
-void fill(JoinResponse& m, RowOf<JoinResponse> r) {
-  std::vector<MarkRow> marks;
-  std::tie(m.coordinator, m.members, marks) = std::move(r);
-  for (auto& [duty, shard, epoch, sequence] : marks) m.marks[{duty, shard}] = {epoch, sequence, {}};
+void fill(Heartbeat& message, HeartbeatRow row) {
+  auto& [sentAt, held] = row;
+  message.sentAt = lease::BootTime(lease::Duration(sentAt));
+  for (auto& [task, shard, epoch, sequence] : held)
+    message.held.push_back({{std::move(task), shard}, epoch, sequence});
 }
-void fill(NotLeader& m, RowOf<NotLeader> r) { std::tie(m.leader) = r; }
-void fill(JoinRejected& m, RowOf<JoinRejected> r) { std::tie(m.reason) = std::move(r); }
-void fill(Heartbeat& m, RowOf<Heartbeat> r) {
-  std::vector<MarkRow> held;
-  std::int64_t sentAt = 0;
-  std::tie(sentAt, held) = std::move(r);
-  m.sentAt = lease::BootTime(lease::Duration(sentAt));
-  for (auto& [duty, shard, epoch, sequence] : held) m.held.push_back({{duty, shard}, epoch, sequence});
+
+HeartbeatResponseRow rowOf(const HeartbeatResponse& message) {
+  std::vector<GrantRow> granted;
+  granted.reserve(message.granted.size());
+  for (const LeaseGrant& grant : message.granted)
+    granted.emplace_back(grant.key.task, grant.key.shard, grant.epoch, grant.sequence,
+                         grant.askedAt.time_since_epoch().count(), grant.leaseDuration.count());
+  std::vector<LostRow> lost;
+  lost.reserve(message.lost.size());
+  for (const LostLease& lease : message.lost) lost.emplace_back(lease.key.task, lease.key.shard, lease.epoch);
+  return {message.members, std::move(granted), std::move(lost)};
 }
-void fill(HeartbeatResponse& m, RowOf<HeartbeatResponse> r) {
+void fill(HeartbeatResponse& message, HeartbeatResponseRow row) {
   std::vector<GrantRow> granted;
   std::vector<LostRow> lost;
-  std::tie(m.members, granted, lost) = std::move(r);
-  for (auto& [duty, shard, epoch, sequence, askedAt, duration] : granted)
-    m.granted.push_back({{duty, shard},
-                         epoch,
-                         sequence,
-                         lease::BootTime(lease::Duration(askedAt)),
-                         lease::Duration(duration)});
-  for (auto& [duty, shard, epoch] : lost) m.lost.emplace_back(LeaseKey{duty, shard}, epoch);
+  std::tie(message.members, granted, lost) = std::move(row);
+  for (auto& [task, shard, epoch, sequence, askedAt, leaseDuration] : granted)
+    message.granted.push_back({{std::move(task), shard},
+                               epoch,
+                               sequence,
+                               lease::BootTime(lease::Duration(askedAt)),
+                               lease::Duration(leaseDuration)});
+  for (auto& [task, shard, epoch] : lost)
+    message.lost.push_back(LostLease{LeaseKey{std::move(task), shard}, epoch});
 }
-void fill(ReleaseLease& m, RowOf<ReleaseLease> r) {
-  std::tie(m.key.task, m.key.shard, m.epoch, m.failed) = std::move(r);
+
+ReleaseLeaseRow rowOf(const ReleaseLease& message) {
+  return {message.key.task, message.key.shard, message.epoch, message.failed};
 }
-void fill(TransferLease& m, RowOf<TransferLease> r) {
-  std::tie(m.key.task, m.key.shard, m.epoch) = std::move(r);
+void fill(ReleaseLease& message, ReleaseLeaseRow row) {
+  std::tie(message.key.task, message.key.shard, message.epoch, message.failed) = std::move(row);
 }
-void fill(Command& m, RowOf<Command> r) {
-  std::tie(m.token.key.task, m.token.key.shard, m.token.epoch, m.token.sequence, m.token.holder.name,
-           m.token.holder.incarnation, m.retained, m.body) = std::move(r);
+
+LostRow rowOf(const TransferLease& message) { return {message.key.task, message.key.shard, message.epoch}; }
+void fill(TransferLease& message, LostRow row) {
+  std::tie(message.key.task, message.key.shard, message.epoch) = std::move(row);
 }
 
-template <std::size_t I = 0>
+CommandRow rowOf(const Command& message) {
+  const lease::FencingToken& token = message.token;
+  return {token.key.task,    token.key.shard,          token.epoch,      token.sequence,
+          token.holder.name, token.holder.incarnation, message.retained, message.body};
+}
+void fill(Command& message, CommandRow row) {
+  lease::FencingToken& token = message.token;
+  std::tie(token.key.task, token.key.shard, token.epoch, token.sequence, token.holder.name,
+           token.holder.incarnation, message.retained, message.body) = std::move(row);
+}
+
+std::tuple<> rowOf(const Leave&) { return {}; }
+void fill(Leave& /*message*/, std::tuple<> /*row*/) {}
+
+template <class T>
+using RowOf = decltype(rowOf(std::declval<T>()));
+
+template <std::size_t Kind = 0>
 Message read(std::size_t kind, const msgpack::object& values) {
-  if constexpr (I < std::variant_size_v<Message>) {
-    if (kind != I) return read<I + 1>(kind, values);
-    using T = std::variant_alternative_t<I, Message>;
+  if constexpr (Kind < std::variant_size_v<Message>) {
+    if (kind != Kind) return read<Kind + 1>(kind, values);
+    using T = std::variant_alternative_t<Kind, Message>;
+    constexpr std::size_t expected = std::tuple_size_v<RowOf<T>>;
+    // The library fills a tuple from a shorter array without an error, and the rest would keep its defaults.
+    if (values.type != msgpack::type::ARRAY)
+      throw BadFrame("a message of kind " + std::to_string(kind) + " whose values are no array");
+    if (values.via.array.size != expected)
+      throw BadFrame("a message of kind " + std::to_string(kind) + " with " +
+                     std::to_string(values.via.array.size) + " values, expected " + std::to_string(expected));
     T message;
-    // Danger: a tuple that is too short would leave values as they were.
-    if (values.type != msgpack::type::ARRAY || values.via.array.size != std::tuple_size_v<RowOf<T>>)
-      throw BadFrame("a message of kind " + std::to_string(kind) + " has another number of values");
-    if constexpr (std::tuple_size_v < RowOf < T >>> 0) fill(message, values.as<RowOf<T>>());
+    fill(message, values.as<RowOf<T>>());
     return message;
   } else {
     throw BadFrame("a message of unknown kind " + std::to_string(kind));
   }
 }
 
+void writeLength(std::string& frame, std::size_t size) {
+  for (std::size_t byte = 0; byte < kFrameLengthBytes; ++byte)
+    frame[byte] = static_cast<char>(size >> (8 * (kFrameLengthBytes - 1 - byte)));
+}
+
 }  // namespace
 
-Bytes encode(const Message& message) {
-  msgpack::sbuffer out;
-  out.write("\0\0\0\0", 4);
-  msgpack::packer<msgpack::sbuffer> packer(out);
+SharedFrame encode(const Message& message) {
+  msgpack::sbuffer buffer;
+  buffer.write("\0\0\0\0", kFrameLengthBytes);
+  msgpack::packer<msgpack::sbuffer> packer(buffer);
   packer.pack_array(2);
   packer.pack(static_cast<std::uint32_t>(message.index()));
-  std::visit([&packer](const auto& m) { packer.pack(row(m)); }, message);
-  const std::size_t size = out.size() - 4;
-  if (size > kFrameMost) throw BadFrame("a frame of " + std::to_string(size) + " bytes");
-  auto bytes = std::make_shared<std::string>(out.data(), out.size());
-  for (int i = 0; i < 4; ++i) (*bytes)[static_cast<std::size_t>(i)] = static_cast<char>(size >> (24 - 8 * i));
-  return bytes;
+  std::visit([&packer](const auto& typed) { packer.pack(rowOf(typed)); }, message);
+  const std::size_t size = buffer.size() - kFrameLengthBytes;
+  if (size > kMaxFrameBytes)
+    throw BadFrame("a frame of " + std::to_string(size) + " bytes, expected at most " +
+                   std::to_string(kMaxFrameBytes));
+  auto frame = std::make_shared<std::string>(buffer.data(), buffer.size());
+  writeLength(*frame, size);
+  return frame;
 }
 
 Message decode(std::string_view payload) {
   try {
     std::size_t end = 0;
     const msgpack::object_handle handle =
-        msgpack::unpack(payload.data(), payload.size(), end, nullptr, nullptr, kLimit);
+        msgpack::unpack(payload.data(), payload.size(), end, nullptr, nullptr, kUnpackLimit);
     const msgpack::object& object = handle.get();
     if (end != payload.size() || object.type != msgpack::type::ARRAY || object.via.array.size != 2)
       throw BadFrame("a frame that is no pair of kind and values");
--- /dev/null
+++ b/src/fleet/held_leases.cpp
@@ -0,0 +1,88 @@
+#include "fleet/held_leases.hpp"
+
+#include <algorithm>
+
+namespace cairnjunction::fleet {
+
+using lease::BootTime;
+using lease::Epoch;
+using lease::HeldLease;
+using lease::LeaseKey;
+
+std::string_view nameOf(LeaseEndReason reason) {
+  switch (reason) {
+    case LeaseEndReason::revoked: return "revoked";
+    case LeaseEndReason::superseded: return "superseded";
+    case LeaseEndReason::expired: return "expired";
+    case LeaseEndReason::released: return "released";
+    case LeaseEndReason::failed: return "failed";
+    case LeaseEndReason::leaving: return "leaving";
+  }
+  return "";
+}
+
+void HeldLeases::onGrant(const LeaseGrant& grant, BootTime now) {
+  HeldLease& lease = leases_[grant.key];
+  const Epoch before = lease.epoch();
+  lease.granted(grant.epoch, grant.sequence, grant.askedAt, grant.leaseDuration);
+  if (!lease.isValid(now) || lease.epoch() != grant.epoch) return;
+  const std::optional<Epoch> active = activeEpoch(grant.key);
+  if (active && *active != grant.epoch) end(grant.key, *active, LeaseEndReason::superseded);
+  // The grant of an epoch comes once; after it a lease is only renewed, or has ended for good.
+  if (grant.epoch == before || active_.contains(grant.key)) return;
+  active_[grant.key] = grant.epoch;
+  callbacks_.onBegin(grant.key, grant.epoch);
+}
+
+void HeldLeases::end(const LeaseKey& key, Epoch epoch, LeaseEndReason reason) {
+  const auto it = active_.find(key);
+  if (it == active_.end() || it->second != epoch) return;
+  if (HeldLease& lease = leases_[key]; lease.epoch() == epoch) lease.end();
+  active_.erase(it);
+  callbacks_.onEnd(key, epoch, reason);
+}
+
+void HeldLeases::endAll(LeaseEndReason reason) {
+  const std::map<LeaseKey, Epoch> all = active_;
+  for (const auto& [key, epoch] : all) end(key, epoch, reason);
+}
+
+void HeldLeases::endExpired(BootTime now) {
+  const std::map<LeaseKey, Epoch> all = active_;
+  for (const auto& [key, epoch] : all)
+    if (!leases_[key].isValid(now)) end(key, epoch, LeaseEndReason::expired);
+}
+
+std::optional<Epoch> HeldLeases::activeEpoch(const LeaseKey& key) const {
+  const auto it = active_.find(key);
+  return it == active_.end() ? std::nullopt : std::optional(it->second);
+}
+
+bool HeldLeases::isValid(const LeaseKey& key, BootTime now) const {
+  const auto it = leases_.find(key);
+  return it != leases_.end() && it->second.isValid(now);
+}
+
+std::optional<lease::FencingToken> HeldLeases::nextToken(const LeaseKey& key, const lease::Member& self,
+                                                         BootTime now) {
+  if (!active_.contains(key)) return std::nullopt;
+  return leases_[key].nextToken(key, self, now);
+}
+
+std::vector<lease::LeasesRenewed::Held> HeldLeases::toRenew(BootTime now) const {
+  std::vector<lease::LeasesRenewed::Held> valid;
+  for (const auto& [key, lease] : leases_)
+    if (lease.isValid(now)) valid.push_back({key, lease.epoch(), lease.sequence()});
+  return valid;
+}
+
+std::optional<BootTime> HeldLeases::nextExpiry() const {
+  std::optional<BootTime> next;
+  for (const auto& [key, epoch] : active_) {
+    const BootTime expiry = leases_.at(key).until();
+    next = next ? std::min(*next, expiry) : expiry;
+  }
+  return next;
+}
+
+}  // namespace cairnjunction::fleet
--- /dev/null
+++ b/src/fleet/lease_renewal.cpp
@@ -0,0 +1,45 @@
+#include "fleet/lease_renewal.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace cairnjunction::fleet {
+
+void LeaseRenewal::onHeartbeat(const PeerConnectionPtr& connection, const Heartbeat& heartbeat) {
+  connection->lastHeartbeat = heartbeat.sentAt;
+  if (heartbeat.held.empty()) return send(*connection, {}, {});
+  // One entry on the log renews all leases that have the same duration.
+  std::map<lease::Duration, HeldList> byDuration;
+  std::vector<LostLease> unknown;
+  for (const auto& held : heartbeat.held) {
+    if (const lease::TaskSpec* spec = settings_.taskSpec(held.key.task))
+      byDuration[spec->leaseDuration].push_back(held);
+    else unknown.push_back({held.key, held.epoch});
+  }
+  if (!unknown.empty()) send(*connection, {}, std::move(unknown));
+  for (const auto& [duration, held] : byDuration) renew(connection, held, duration, heartbeat.sentAt);
+}
+
+void LeaseRenewal::renew(const PeerConnectionPtr& connection, const HeldList& held,
+                         lease::Duration leaseDuration, lease::BootTime askedAt) {
+  const auto onApplied = [this, connection, held, leaseDuration, askedAt](const lease::ApplyResult& result) {
+    if (connection->ended) return;
+    std::vector<LeaseGrant> granted;
+    std::vector<LostLease> lost;
+    for (const auto& asked : held) {
+      const bool renewed = std::any_of(result.held.begin(), result.held.end(),
+                                       [&](const auto& lease) { return lease.key == asked.key; });
+      if (renewed) granted.push_back({asked.key, asked.epoch, asked.sequence, askedAt, leaseDuration});
+      else lost.push_back({asked.key, asked.epoch});
+    }
+    send(*connection, std::move(granted), std::move(lost));
+  };
+  log_.propose(lease::LeasesRenewed{connection->member, held, leaseDuration}, lifetime_.guard(onApplied));
+}
+
+void LeaseRenewal::send(const PeerConnection& connection, std::vector<LeaseGrant> granted,
+                        std::vector<LostLease> lost) const {
+  connection.link->send(HeartbeatResponse{connections_.memberCount(), std::move(granted), std::move(lost)});
+}
+
+}  // namespace cairnjunction::fleet
--- /dev/null
+++ b/src/fleet/lease_state_machine.hpp
@@ -0,0 +1,28 @@
+// The lease table as the state machine of the replicated log.
+#pragma once
+
+#include <string>
+#include <string_view>
+
+#include "consensus/replicated_log.hpp"
+#include "lease/lease_table.hpp"
+
+namespace cairnjunction::fleet {
+
+class LeaseStateMachine final : public consensus::StateMachine {
+ public:
+  // An entry that can't be decoded is of another version. It changes nothing, on all coordinators alike.
+  void apply(std::string_view entry) override;
+  std::string snapshot() const override { return table_.snapshot(); }
+  void restore(std::string_view bytes) override { table_.restore(bytes); }
+
+  const lease::LeaseTable& table() const { return table_; }
+  // Of the last entry.
+  const lease::ApplyResult& lastResult() const { return lastResult_; }
+
+ private:
+  lease::LeaseTable table_;
+  lease::ApplyResult lastResult_;
+};
+
+}  // namespace cairnjunction::fleet
--- a/src/fleet/link.cpp
+++ b/src/fleet/link.cpp
@@ -1,25 +1,29 @@
-// One TCP connection of the fleet.
 #include "fleet/link.hpp"
 
 #include <boost/asio/read.hpp>
 #include <boost/asio/write.hpp>
-#include <optional>
+#include <utility>
 
 namespace cairnjunction::fleet {
+namespace {
+
+// A buffer that grew beyond this for one frame is freed after it.
+constexpr std::size_t kMaxIdleBufferBytes = 64 << 10;
+
+}  // namespace
 
 using boost::asio::ip::tcp;
-using boost::system::error_code;
 
 std::string_view nameOf(LinkEnd end) {
   switch (end) {
-    case LinkEnd::connectionRefused: return "refused";
-    case LinkEnd::connectTimeout: return "dial-silent";
-    case LinkEnd::rejected: return "turned-away";
-    case LinkEnd::receiveTimeout: return "silent";
-    case LinkEnd::sendTimeout: return "slow";
+    case LinkEnd::connectionRefused: return "connection-refused";
+    case LinkEnd::connectTimeout: return "connect-timeout";
+    case LinkEnd::rejected: return "rejected";
+    case LinkEnd::receiveTimeout: return "receive-timeout";
+    case LinkEnd::sendTimeout: return "send-timeout";
     case LinkEnd::reset: return "reset";
     case LinkEnd::badFrame: return "bad-frame";
-    case LinkEnd::notLeader: return "moved";
+    case LinkEnd::notLeader: return "not-leader";
     case LinkEnd::stopped: return "stopped";
   }
   return "";
@@ -27,23 +31,23 @@
 
 Link::Link(boost::asio::io_context& io, tcp::socket socket, const Limits& limits, Callbacks callbacks)
     : socket_(std::move(socket)),
-      silence_(io),
-      slow_(io),
+      receiveTimer_(io),
+      sendTimer_(io),
       limits_(limits),
       callbacks_(std::move(callbacks)) {}
 
-std::shared_ptr<Link> Link::dial(boost::asio::io_context& io, const tcp::endpoint& to, const Limits& limits,
-                                 Callbacks callbacks) {
+std::shared_ptr<Link> Link::dial(boost::asio::io_context& io, const tcp::endpoint& address,
+                                 const Limits& limits, Callbacks callbacks) {
   std::shared_ptr<Link> link(new Link(io, tcp::socket(io), limits, std::move(callbacks)));
-  link->silence_.expires_after(limits.connectTimeout);
-  link->silence_.async_wait([link](error_code ec) {
-    if (!ec && !link->up_) link->close(LinkEnd::connectTimeout);
+  link->receiveTimer_.expires_after(limits.connectTimeout);
+  link->receiveTimer_.async_wait([link](ErrorCode error) {
+    if (!error && !link->up_) link->close(LinkEnd::connectTimeout);
   });
-  link->socket_.async_connect(to, [link](error_code ec) {
-    if (link->over_) return;
-    if (ec) return link->close(LinkEnd::connectionRefused, ec.message());
+  link->socket_.async_connect(address, [link](ErrorCode error) {
+    if (link->ended_) return;
+    if (error) return link->close(LinkEnd::connectionRefused, error.message());
     link->begin();
-    if (link->callbacks_.up) link->callbacks_.up();
+    if (link->callbacks_.onConnected) link->callbacks_.onConnected();
   });
   return link;
 }
@@ -56,108 +60,116 @@
 }
 
 void Link::begin() {
-  error_code ignored;
+  ErrorCode ignored;
   socket_.set_option(tcp::no_delay(true), ignored);
   up_ = true;
-  watchSilence();
+  restartReceiveTimer();
   readLength();
-  if (!out_.empty()) write();
+  if (!queue_.empty()) writeNext();
 }
 
-void Link::watchSilence() {
-  silence_.expires_after(limits_.receiveTimeout);
-  silence_.async_wait([self = shared_from_this()](error_code ec) {
-    if (!ec) self->close(LinkEnd::receiveTimeout);
+void Link::restartReceiveTimer() {
+  receiveTimer_.expires_after(limits_.receiveTimeout);
+  receiveTimer_.async_wait([self = shared_from_this()](ErrorCode error) {
+    if (!error) self->close(LinkEnd::receiveTimeout);
   });
 }
 
 void Link::readLength() {
-  boost::asio::async_read(
-      socket_, boost::asio::buffer(length_), [self = shared_from_this()](error_code ec, std::size_t) {
-        if (self->over_) return;
-        if (ec) return self->lost(ec);
-        std::size_t size = 0;
-        for (const unsigned char byte : self->length_) size = size << 8 | byte;
-        if (size > kFrameMost)
-          return self->close(LinkEnd::badFrame, "a frame of " + std::to_string(size) + " bytes, at most " +
-                                                    std::to_string(kFrameMost) + " are taken");
-        self->readPayload(size);
-      });
+  boost::asio::async_read(socket_, boost::asio::buffer(length_),
+                          [self = shared_from_this()](ErrorCode error, std::size_t) {
+                            if (self->ended_) return;
+                            if (error) return self->onSocketError(error);
+                            std::size_t size = 0;
+                            for (const unsigned char byte : self->length_) size = size << 8 | byte;
+                            if (size > kMaxFrameBytes)
+                              return self->close(LinkEnd::badFrame, "a frame of " + std::to_string(size) +
+                                                                        " bytes, expected at most " +
+                                                                        std::to_string(kMaxFrameBytes));
+                            self->readPayload(size);
+                          });
 }
 
 void Link::readPayload(std::size_t size) {
   payload_.resize(size);
   boost::asio::async_read(socket_, boost::asio::buffer(payload_),
-                          [self = shared_from_this()](error_code ec, std::size_t n) {
-                            if (self->over_) return;
-                            if (ec) return self->lost(ec);
-                            self->bytesIn_ += n + self->length_.size();
-                            // Only whole frames count: a peer that sends a byte now and then says nothing.
-                            self->watchSilence();
-                            try {
-                              const Message message = decode(self->payload_);
-                              self->callbacks_.message(message);
-                            } catch (const BadFrame& bad) {
-                              return self->close(LinkEnd::badFrame, bad.what());
-                            }
-                            if (self->over_) return;
-                            if (self->payload_.capacity() > (64u << 10)) self->payload_ = {};
-                            self->readLength();
+                          [self = shared_from_this()](ErrorCode error, std::size_t read) {
+                            if (self->ended_) return;
+                            if (error) return self->onSocketError(error);
+                            self->onPayload(read);
                           });
 }
 
-void Link::send(Bytes frame) {
-  if (over_ || finishing_) return;
-  queued_ += frame->size();
-  out_.push_back(std::move(frame));
-  if (queued_ > limits_.maxQueuedBytes)
-    return close(LinkEnd::sendTimeout, std::to_string(queued_) + " bytes wait to be written");
-  if (up_ && !writing_) write();
+void Link::onPayload(std::size_t size) {
+  bytesIn_ += size + length_.size();
+  // Only whole frames count: a peer that sends a byte now and then is as good as silent.
+  restartReceiveTimer();
+  try {
+    callbacks_.onMessage(decode(payload_));
+  } catch (const BadFrame& bad) {
+    return close(LinkEnd::badFrame, bad.what());
+  }
+  if (ended_) return;
+  if (payload_.capacity() > kMaxIdleBufferBytes) payload_ = {};
+  readLength();
 }
 
-void Link::write() {
+void Link::send(SharedFrame frame) {
+  if (ended_ || finishing_) return;
+  queuedBytes_ += frame->size();
+  queue_.push_back(std::move(frame));
+  if (queuedBytes_ > limits_.maxQueuedBytes)
+    return close(LinkEnd::sendTimeout, std::to_string(queuedBytes_) + " bytes wait to be written");
+  if (up_ && !writing_) writeNext();
+}
+
+void Link::writeNext() {
   writing_ = true;
-  slow_.expires_after(limits_.sendTimeout);
-  slow_.async_wait([self = shared_from_this()](error_code ec) {
-    if (!ec && self->writing_) self->close(LinkEnd::sendTimeout, "a frame was not taken in time");
+  sendTimer_.expires_after(limits_.sendTimeout);
+  sendTimer_.async_wait([self = shared_from_this()](ErrorCode error) {
+    if (!error && self->writing_) self->close(LinkEnd::sendTimeout, "a frame was not accepted in time");
   });
-  boost::asio::async_write(socket_, boost::asio::buffer(*out_.front()),
-                           [self = shared_from_this(), frame = out_.front()](error_code ec, std::size_t n) {
-                             if (self->over_) return;
-                             self->bytesOut_ += n;
-                             self->writing_ = false;
-                             self->slow_.cancel();
-                             if (ec) return self->lost(ec);
-                             self->queued_ -= frame->size();
-                             self->out_.pop_front();
-                             if (!self->out_.empty()) return self->write();
-                             if (self->finishing_) self->close(*self->finishing_);
-                           });
+  boost::asio::async_write(
+      socket_, boost::asio::buffer(*queue_.front()),
+      [self = shared_from_this(), frame = queue_.front()](ErrorCode error, std::size_t written) {
+        if (!self->ended_) self->onWritten(error, written);
+      });
+}
+
+void Link::onWritten(ErrorCode error, std::size_t size) {
+  bytesOut_ += size;
+  writing_ = false;
+  sendTimer_.cancel();
+  if (error) return onSocketError(error);
+  queuedBytes_ -= queue_.front()->size();
+  queue_.pop_front();
+  if (!queue_.empty()) return writeNext();
+  if (finishing_) close(*finishing_);
 }
 
-void Link::lost(error_code ec) { close(finishing_.value_or(LinkEnd::reset), ec.message()); }
+void Link::onSocketError(ErrorCode error) { close(finishing_.value_or(LinkEnd::reset), error.message()); }
 
 void Link::finish(LinkEnd end) {
-  if (over_ || finishing_) return;
-  if (out_.empty()) return close(end);
+  if (ended_ || finishing_) return;
+  if (queue_.empty()) return close(end);
   finishing_ = end;
 }
 
-void Link::close(LinkEnd end, const std::string& why) {
-  if (over_) return;
-  const auto ended = std::move(callbacks_.ended);
+void Link::close(LinkEnd end, const std::string& detail) {
+  if (ended_) return;
+  const auto onEnd = std::move(callbacks_.onEnd);
   abandon();
-  if (ended) ended(end, why);
+  if (onEnd) onEnd(end, detail);
 }
 
 void Link::abandon() {
-  over_ = true;
+  ended_ = true;
   up_ = false;
-  silence_.cancel();
-  slow_.cancel();
-  error_code ignored;
+  receiveTimer_.cancel();
+  sendTimer_.cancel();
+  ErrorCode ignored;
   socket_.close(ignored);
-  callbacks_.ended = nullptr;
+  callbacks_.onEnd = nullptr;
 }
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/link.hpp
+++ b/src/fleet/link.hpp
@@ -1,4 +1,5 @@
-// One TCP connection of the fleet: frames in and out, bounded, with a name for each way in which it ends.
+// One TCP connection of the fleet: frames in and out, with bounds on time and memory. Every way in which it
+// can end has a name, so that logs and tests say what was seen.
 #pragma once
 
 #include <array>
@@ -18,69 +19,86 @@
 
 namespace cairnjunction::fleet {
 
-enum class LinkEnd {
-  connectionRefused,  // nobody listens
-  connectTimeout,     // it did not come up in time
-  rejected,           // by the other side, with a reason
-  receiveTimeout,     // no whole frame for its time: half open, cut, or the other side hangs
-  sendTimeout,        // more waits to be written than the bound, or the same for too long
-  reset,              // closed or reset by the other side, perhaps in the middle of a frame
-  badFrame,           // what came is no frame of ours
-  notLeader,          // the other side does not lead
-  stopped             // by us
+// Why a link ended, by what this side saw.
+enum class LinkEnd : std::uint8_t {
+  connectionRefused,  // connecting failed: nobody listens, or there is no route
+  connectTimeout,     // the connection was not established within Limits::connectTimeout
+  rejected,           // the peer sent JoinRejected, with its reason
+  receiveTimeout,     // no whole frame came within Limits::receiveTimeout: half open, cut, or the peer hangs
+  sendTimeout,        // more than Limits::maxQueuedBytes waited, or one frame for longer than sendTimeout
+  reset,              // the peer closed or reset the connection, perhaps in the middle of a frame
+  badFrame,           // what came is no frame, or a message that the peer must not send
+  notLeader,          // the peer does not lead, or (at a coordinator) this side leads no longer
+  stopped             // this side closed it for a reason of its own
 };
+// As it stands in log lines.
 std::string_view nameOf(LinkEnd end);
 
+// Kept alive by its own pending operations; the holder of a pointer that goes away calls abandon() first.
+// All calls and callbacks are on the event loop's thread.
 class Link : public std::enable_shared_from_this<Link> {
  public:
   struct Limits {
     std::chrono::milliseconds connectTimeout{1000};
-    std::chrono::milliseconds receiveTimeout{3000};  // between whole frames that come
-    std::chrono::milliseconds sendTimeout{3000};     // for one frame to be taken by the system
-    std::size_t maxQueuedBytes = 2 * kFrameMost;     // bytes that wait to be written
+    std::chrono::milliseconds receiveTimeout{3000};   // between whole frames that are received
+    std::chrono::milliseconds sendTimeout{3000};      // for one frame to be accepted by the system
+    std::size_t maxQueuedBytes = 2 * kMaxFrameBytes;  // bytes that wait to be written
   };
   struct Callbacks {
-    std::function<void()> up;
-    std::function<void(const Message&)> message;
-    std::function<void(LinkEnd, const std::string& why)> ended;  // once, and nothing after it
+    std::function<void()> onConnected;  // of a link that was dialled; may be empty
+    std::function<void(const Message&)> onMessage;
+    std::function<void(LinkEnd, const std::string& detail)> onEnd;  // once, and no callback after it
   };
 
-  static std::shared_ptr<Link> dial(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& to,
-                                    const Limits& limits, Callbacks callbacks);
+  static std::shared_ptr<Link> dial(boost::asio::io_context& io,
+                                    const boost::asio::ip::tcp::endpoint& address, const Limits& limits,
+                                    Callbacks callbacks);
   static std::shared_ptr<Link> accepted(boost::asio::io_context& io, boost::asio::ip::tcp::socket socket,
                                         const Limits& limits, Callbacks callbacks);
 
+  // Queues a frame; it is written once the link is connected. May end the link with sendTimeout at once.
   void send(const Message& message) { send(encode(message)); }
-  void send(Bytes frame);
-  // What was sent is still written, for as long as `slow` allows; then `ended` comes with `end`.
+  void send(SharedFrame frame);
+  // Writes what is queued, for as long as sendTimeout allows, and then ends with `end`.
   void finish(LinkEnd end);
-  void close(LinkEnd end, const std::string& why = {});
-  void abandon();  // without a word: `ended` is not called
+  // Ends at once; what is queued is dropped.
+  void close(LinkEnd end, const std::string& detail = {});
+  // Ends at once without a call to onEnd.
+  void abandon();
+
   bool isUp() const { return up_; }
   std::uint64_t bytesIn() const { return bytesIn_; }
   std::uint64_t bytesOut() const { return bytesOut_; }
 
  private:
+  using ErrorCode = boost::system::error_code;
+
   Link(boost::asio::io_context& io, boost::asio::ip::tcp::socket socket, const Limits& limits,
        Callbacks callbacks);
   void begin();
-  void watchSilence();
+  void restartReceiveTimer();
   void readLength();
   void readPayload(std::size_t size);
-  void write();
-  void lost(boost::system::error_code ec);
+  void onPayload(std::size_t size);
+  void writeNext();
+  void onWritten(ErrorCode error, std::size_t size);
+  void onSocketError(ErrorCode error);
 
   boost::asio::ip::tcp::socket socket_;
-  boost::asio::steady_timer silence_, slow_;
+  boost::asio::steady_timer receiveTimer_;  // while connecting: for connectTimeout
+  boost::asio::steady_timer sendTimer_;     // runs while a frame is being written
   Limits limits_;
-  Callbacks callbacks_;
-  std::array<unsigned char, 4> length_{};
+  Callbacks callbacks_;  // onEnd is empty once the link has ended
+  std::array<unsigned char, kFrameLengthBytes> length_{};
   std::string payload_;
-  std::deque<Bytes> out_;
-  std::size_t queued_ = 0;
-  std::uint64_t bytesIn_ = 0, bytesOut_ = 0;
-  bool up_ = false, over_ = false, writing_ = false;
-  std::optional<LinkEnd> finishing_;
+  std::deque<SharedFrame> queue_;  // its front is the frame that is being written, if writing_
+  std::size_t queuedBytes_ = 0;    // the sum of queue_
+  std::uint64_t bytesIn_ = 0;      // of whole frames
+  std::uint64_t bytesOut_ = 0;
+  bool up_ = false;                   // connected and not ended
+  bool ended_ = false;                // nothing is read, written or called back any more
+  bool writing_ = false;              // one frame is with the system
+  std::optional<LinkEnd> finishing_;  // ends so once queue_ is empty; nothing is added to it
 };
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/settings.hpp
+++ b/src/fleet/settings.hpp
@@ -1,4 +1,6 @@
-// The fleet file (TOML): keepers, duties, and what a member is. The same file serves keepers and gateways.
+// The fleet file (TOML): the coordinators, the tasks that have a lease holder, and what a member is. One file
+// serves coordinators and gateways. The names of its keys are mapped to those of the code in settings.cpp
+// alone (docs/operators/fleet.md lists them).
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,38 +14,42 @@
 
 namespace cairnjunction::fleet {
 
+// With file, line, what was found and what was expected.
 using BadSettings = toml::BadFile;
 
 struct CoordinatorAddress {
-  int number = 0;
-  boost::asio::ip::tcp::endpoint address;  // members and keepers greet each other there
-  std::string raft;                        // the keepers' own log; IPv4 address:port
+  int number = 0;                          // from 1; one coordinator has it for good
+  boost::asio::ip::tcp::endpoint address;  // for members, and for the handshake between coordinators
+  std::string raft;                        // for the replicated log; IPv4 address:port
 };
 
 struct Settings {
-  std::string fleet;
-  std::uint32_t members = 1;                          // as many as are expected
-  std::chrono::milliseconds heartbeatInterval{1000};  // a member's word to its keeper
-  std::chrono::milliseconds isolatedAfter{3000};      // with no keeper's word for so long it is on its own
-  std::chrono::milliseconds leaderSettleTime{
-      1000};  // a new leader waits so long for members before it grants
-  std::chrono::milliseconds electionTimeout{
-      1000};  // keepers without their leader's word for so long choose another
-  std::vector<CoordinatorAddress> coordinators;  // 1, 3 or 5
-  std::vector<lease::TaskSpec> tasks;
-
-  // [member], of a gateway.
-  std::string zone;
-  bool eligible = true;  // to own duties
-  std::string disk;      // folder for what its fence has seen; empty: none
-  std::string log;       // file for structured lines; empty: standard error
-
+  std::string fleet;                                  // name; 1 to lease::kNameMost bytes
+  std::uint32_t members = 1;                          // expected; a member's count until it has joined
+  std::chrono::milliseconds heartbeatInterval{1000};  // between a member's heartbeats
+  // With no coordinator heard of for so long a member is isolated; at least three heartbeats.
+  std::chrono::milliseconds isolatedAfter{3000};
+  // A new leader waits so long for members to join before it grants.
+  std::chrono::milliseconds leaderSettleTime{1000};
+  // Coordinators that don't hear from the leader for so long, or up to twice that, elect another.
+  std::chrono::milliseconds electionTimeout{1000};
+  std::vector<CoordinatorAddress> coordinators;  // 1, 3 or 5, with different numbers and addresses
+  std::vector<lease::TaskSpec> tasks;            // with different names
+
+  // Of this member, by the section for it.
+  std::string zone;      // may be empty
+  bool eligible = true;  // to be granted leases
+  std::string disk;      // folder for its fencing marks; empty: they are not stored
+  std::string log;       // file for its event log; empty: standard error
+
+  // Null if there is none.
   const CoordinatorAddress* coordinator(int number) const;
-  const lease::TaskSpec* taskSpec(const std::string& duty) const;
+  const lease::TaskSpec* taskSpec(const std::string& task) const;
 };
 
-// Throws BadSettings with file, line and what was expected.
+// Throws BadSettings.
 Settings readSettings(const std::string& path);
+// `name` stands for the file in errors.
 Settings parseSettings(const std::string& text, const std::string& name);
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/voter_handshake.cpp
+++ b/src/fleet/voter_handshake.cpp
@@ -1,4 +1,3 @@
-// Before a keeper votes.
 #include "fleet/voter_handshake.hpp"
 
 #include <utility>
@@ -6,65 +5,76 @@
 namespace cairnjunction::fleet {
 
 VoterHandshake::VoterHandshake(boost::asio::io_context& io, const Settings& settings, int number,
-                               consensus::VoterIdentity& identity, EventLog& journal,
-                               std::function<void(const std::string&)> ended)
+                               consensus::VoterIdentity& identity, EventLog& log,
+                               std::function<void(const Result&)> onResult)
     : io_(io),
       settings_(settings),
       number_(number),
       identity_(identity),
-      journal_(journal),
-      ended_(std::move(ended)) {
-  for (const CoordinatorAddress& keeper : settings_.coordinators)
-    if (keeper.number != number_) ask(keeper.number);
-  settle();
+      log_(log),
+      onResult_(std::move(onResult)) {
+  for (const CoordinatorAddress& coordinator : settings_.coordinators)
+    if (coordinator.number != number_) sendRequest(coordinator.number);
+  reportIfMajority();
 }
 
 VoterHandshake::~VoterHandshake() {
-  for (const auto& [number, link] : links_)
+  for (const auto& [peer, link] : links_)
     if (link) link->abandon();
 }
 
-void VoterHandshake::ask(int number) {
-  Link::Limits limits;
-  links_[number] = Link::dial(
-      io_, settings_.coordinator(number)->address, limits,
-      {[this, number] {
-         links_[number]->send(VoterHandshakeRequest{kProtocol, settings_.fleet, number_, identity_.own()});
+void VoterHandshake::sendRequest(int peer) {
+  const Link::Limits limits;
+  links_[peer] = Link::dial(
+      io_, settings_.coordinator(peer)->address, limits,
+      {[this, peer] {
+         links_[peer]->send(VoterHandshakeRequest{kProtocol, settings_.fleet, number_, identity_.own()});
        },
-       lifetime_.guard([this, number](const Message& message) {
-         if (const auto* answer = std::get_if<VoterHandshakeResponse>(&message)) answered(number, *answer);
-         else if (const auto* away = std::get_if<JoinRejected>(&message))
-           journal_.line("not-admitted", {{"by", number}, {"why", away->reason}});
-       }),
-       lifetime_.guard([this, number](LinkEnd, const std::string&) {
-         if (!agreed_.count(number)) askAgain(number);
+       lifetime_.guard([this, peer](const Message& message) { onMessage(peer, message); }),
+       lifetime_.guard([this, peer](LinkEnd, const std::string&) {
+         if (!agreed_.contains(peer)) scheduleRetry(peer);
        })});
 }
 
-void VoterHandshake::askAgain(int number) {
-  auto& timer = timers_[number];
-  timer = std::make_unique<boost::asio::steady_timer>(io_, kAgain);
-  timer->async_wait(lifetime_.guard([this, number](boost::system::error_code ec) {
-    if (!ec) ask(number);
+void VoterHandshake::scheduleRetry(int peer) {
+  auto& timer = retryTimers_[peer];
+  timer = std::make_unique<boost::asio::steady_timer>(io_, kRetryDelay);
+  timer->async_wait(lifetime_.guard([this, peer](boost::system::error_code cancelled) {
+    if (!cancelled) sendRequest(peer);
   }));
 }
 
-void VoterHandshake::answered(int number, const VoterHandshakeResponse& answer) {
-  std::string why = answer.rejection;
-  if (why.empty() && answer.number == number) why = identity_.checkPeer(number, answer.mark);
-  else if (why.empty())
-    why = "at keeper " + std::to_string(number) + "'s address is keeper " + std::to_string(answer.number);
-  if (why.empty()) {
-    agreed_.insert(number);
-    return settle();
+void VoterHandshake::onMessage(int peer, const Message& message) {
+  if (const auto* response = std::get_if<VoterHandshakeResponse>(&message))
+    return onResponse(peer, *response);
+  if (const auto* rejected = std::get_if<JoinRejected>(&message))
+    log_.write(Event::handshakeRejected, {{"by", peer}, {"why", rejected->reason}});
+}
+
+void VoterHandshake::onResponse(int peer, const VoterHandshakeResponse& response) {
+  const std::string reason = rejectionOf(peer, response);
+  if (reason.empty()) {
+    agreed_.insert(peer);
+    return reportIfMajority();
   }
-  journal_.line("not-admitted", {{"by", number}, {"why", why}});
-  if (ended_) std::exchange(ended_, nullptr)(why);
+  log_.write(Event::handshakeRejected, {{"by", peer}, {"why", reason}});
+  report({Result::Outcome::rejected, reason});
+}
+
+std::string VoterHandshake::rejectionOf(int peer, const VoterHandshakeResponse& response) {
+  if (!response.rejection.empty()) return response.rejection;
+  if (response.number != peer)
+    return "at keeper " + std::to_string(peer) + "'s address is keeper " + std::to_string(response.number);
+  return identity_.checkPeer(peer, response.mark);
+}
+
+void VoterHandshake::reportIfMajority() {
+  const std::size_t agreeing = agreed_.size() + 1;  // with this one
+  if (agreeing > settings_.coordinators.size() / 2) report({Result::Outcome::admitted, {}});
 }
 
-// With itself a majority; so one alone needs nobody.
-void VoterHandshake::settle() {
-  if (agreed_.size() + 1 > settings_.coordinators.size() / 2 && ended_) std::exchange(ended_, nullptr)({});
+void VoterHandshake::report(const Result& result) {
+  if (onResult_) std::exchange(onResult_, nullptr)(result);
 }
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/voter_handshake.hpp
+++ b/src/fleet/voter_handshake.hpp
@@ -1,8 +1,11 @@
-// Before a keeper votes: it tells the other keepers who it is by its disk, and waits for their word.
+// Before a coordinator votes: it tells the other coordinators who it is by its disk, and waits for their
+// answers. A voter that lost its disk, or runs on an older copy of it, may have forgotten what it voted for;
+// the others remember each disk, and reject it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
+#include <chrono>
 #include <functional>
 #include <map>
 #include <memory>
@@ -19,32 +22,45 @@
 
 class VoterHandshake {
  public:
-  static constexpr std::chrono::milliseconds kAgain{200};
+  // Between two tries with one coordinator.
+  static constexpr std::chrono::milliseconds kRetryDelay{200};
 
-  // `ended` is called once: with nothing as soon as enough others have agreed (with oneself a majority), or
-  // with the reason as soon as one of them, or this one of them, has turned the other away. The others go on
-  // being told until all have heard, so that each of them can tell an older disk later.
+  struct Result {
+    enum class Outcome : std::uint8_t { admitted, rejected };
+    Outcome outcome = Outcome::admitted;
+    std::string reason;  // of a rejection
+  };
+
+  // `onResult` is called once, perhaps before this returns: `admitted` as soon as a majority has agreed, this
+  // coordinator among them, or `rejected` as soon as one of the others has rejected this one, or was rejected
+  // by it. After it the handshake goes on until each of the others has answered, so that each can recognise
+  // an older copy of this disk later.
   VoterHandshake(boost::asio::io_context& io, const Settings& settings, int number,
-                 consensus::VoterIdentity& identity, EventLog& journal,
-                 std::function<void(const std::string& why)> ended);
+                 consensus::VoterIdentity& identity, EventLog& log,
+                 std::function<void(const Result&)> onResult);
   ~VoterHandshake();
   VoterHandshake(const VoterHandshake&) = delete;
   VoterHandshake& operator=(const VoterHandshake&) = delete;
 
  private:
-  void ask(int number);
-  void askAgain(int number);
-  void answered(int number, const VoterHandshakeResponse& answer);
-  void settle();
+  void sendRequest(int peer);
+  void scheduleRetry(int peer);
+  void onMessage(int peer, const Message& message);
+  void onResponse(int peer, const VoterHandshakeResponse& response);
+  // Why the peer's answer, or the peer itself, makes this handshake fail; empty: it agrees.
+  std::string rejectionOf(int peer, const VoterHandshakeResponse& response);
+  void reportIfMajority();
+  void report(const Result& result);
 
   boost::asio::io_context& io_;
   const Settings settings_;
-  const int number_;
+  const int number_;  // of this coordinator
   consensus::VoterIdentity& identity_;
-  EventLog& journal_;
-  std::function<void(const std::string&)> ended_;
-  std::map<int, std::shared_ptr<Link>> links_;
-  std::map<int, std::unique_ptr<boost::asio::steady_timer>> timers_;
+  EventLog& log_;
+  std::function<void(const Result&)> onResult_;  // empty once it was called
+  // By the number of the other coordinator.
+  std::map<int, std::shared_ptr<Link>> links_;  // the last one; may have ended
+  std::map<int, std::unique_ptr<boost::asio::steady_timer>> retryTimers_;
   std::set<int> agreed_;
   CallbackGuard lifetime_;
 };
--- a/tests/fleet/cli.sh
+++ b/tests/fleet/cli.sh
@@ -1,10 +1,10 @@
 #!/bin/sh
-# The commands for a fleet, with one keeper. $1: the program; $2: a configuration of a gateway.
+# The commands for a fleet, with one coordinator. $1: the program; $2: a configuration of a gateway.
 set -eu
 program=$1 config=$2
 dir=$(mktemp -d)
-keeper=
-trap '[ -z "$keeper" ] || kill "$keeper" 2>/dev/null || true; rm -rf "$dir"' EXIT
+coordinator=
+trap '[ -z "$coordinator" ] || kill "$coordinator" 2>/dev/null || true; rm -rf "$dir"' EXIT
 cat >"$dir/fleet.toml" <<'F'
 fleet = "yard"
 election_ms = 100
@@ -22,23 +22,36 @@
 set -e
 [ "$got" = 2 ]; grep -q "bad.toml:2: unknown key 'elction_ms'" "$dir/err"
 mkdir "$dir/k1"
-"$program" fleet keeper "$dir/fleet.toml" --number 1 --dir "$dir/k1" --log "$dir/k1.log" &
-keeper=$!
+"$program" fleet coordinator "$dir/fleet.toml" --number 1 --dir "$dir/k1" --log "$dir/k1.log" 2>"$dir/k1.err" &
+coordinator=$!
 until "$program" fleet status --socket "$dir/k1/control.sock" 2>/dev/null | grep -q 'keeper 1: leads'; do
-  kill -0 "$keeper"; sleep 0.1
+  kill -0 "$coordinator"; sleep 0.1
 done
 "$program" fleet status --socket "$dir/k1/control.sock" --json | grep -q '"fleet": "yard"'
-"$program" fleet duties --socket "$dir/k1/control.sock" | grep -q '^duty'
+"$program" fleet leases --socket "$dir/k1/control.sock" 2>"$dir/err" | grep -q '^duty'
+[ ! -s "$dir/err" ]
+if "$program" fleet transfer list --socket "$dir/k1/control.sock" 2>"$dir/err"; then exit 1; fi
+grep -q 'list/0 has no owner' "$dir/err"
+# Former names work, and say what the name is now.
+"$program" fleet duties --socket "$dir/k1/control.sock" 2>"$dir/err" | grep -q '^duty'
+grep -qx 'cairnjunction fleet duties is now cairnjunction fleet leases' "$dir/err"
 if "$program" fleet hand-over list --socket "$dir/k1/control.sock" 2>"$dir/err"; then exit 1; fi
+grep -qx 'cairnjunction fleet hand-over is now cairnjunction fleet transfer' "$dir/err"
 grep -q 'list/0 has no owner' "$dir/err"
+"$program" fleet --help >"$dir/help"
+grep -q leases "$dir/help"
+if grep -q 'duties\|hand-over\|keeper' "$dir/help"; then exit 1; fi
 if "$program" fleet status --socket "$dir/none.sock" 2>"$dir/err"; then exit 1; fi
 grep -q none.sock "$dir/err"
-kill "$keeper"; wait "$keeper"; keeper=
-# Its log is bound to its number and its fleet.
+kill "$coordinator"; wait "$coordinator"; coordinator=
+[ ! -s "$dir/k1.err" ]
+# Its log is bound to its number and its fleet. By the former names of the subcommand and of the program, too.
 set +e
 "$program" fleet keeper "$dir/fleet.toml" --number 2 --dir "$dir/k1" 2>"$dir/err"; got=$?
 set -e
 [ "$got" = 2 ]
+grep -qx 'cairnjunction fleet keeper is now cairnjunction fleet coordinator' "$dir/err"
 sed 's/yard/other/' "$dir/fleet.toml" >"$dir/other.toml"
-if "$program" fleet keeper "$dir/other.toml" --number 1 --dir "$dir/k1" 2>"$dir/err"; then exit 1; fi
+if "$(dirname "$program")/cairnjunction-keeper" "$dir/other.toml" --number 1 --dir "$dir/k1" 2>"$dir/err"; then exit 1; fi
+grep -qx 'cairnjunction-keeper is now cairnjunction-coordinator' "$dir/err"
 grep -q "of the fleet 'yard', not of 'other'" "$dir/err"
--- /dev/null
+++ b/tests/fleet/connection_table_test.cpp
@@ -0,0 +1,47 @@
+// Who is connected.
+#include "fleet/connection_table.hpp"
+
+#include "coordinator_parts.hpp"
+
+namespace cairnjunction::testing {
+namespace {
+
+using ConnectionTableTest = CoordinatorPartsTest;
+
+TEST_F(ConnectionTableTest, MembersAreFoundOnceTheyHaveJoined) {
+  Peer& first = connect("a");
+  EXPECT_EQ(connections.findJoined({"a", 1}), first.connection);
+  EXPECT_EQ(connections.findJoined({"a", 2}), nullptr) << "another process of this name";
+  first.connection->joined = false;
+  EXPECT_EQ(connections.findJoined({"a", 1}), nullptr);
+  EXPECT_EQ(connections.findMember("a"), first.connection);
+  EXPECT_TRUE(connections.joined().empty());
+  EXPECT_EQ(connections.memberCount(), 1u);
+}
+
+// A member dials again before its old link has ended here. The old link's end does not take the new one out.
+TEST_F(ConnectionTableTest, TheEndOfAReplacedLinkChangesNothing) {
+  Peer& first = connect("a");
+  const fleet::PeerConnectionPtr before = first.connection;
+  const auto again = std::make_shared<fleet::PeerConnection>(*before);
+  connections.add(again);
+  connections.addMember(again);
+  EXPECT_FALSE(connections.remove(before));
+  EXPECT_TRUE(before->ended);
+  EXPECT_EQ(connections.findMember("a"), again);
+  EXPECT_TRUE(connections.remove(again));
+  EXPECT_EQ(connections.findMember("a"), nullptr);
+}
+
+TEST_F(ConnectionTableTest, AllAreSentALastMessage) {
+  Peer& first = connect("a");
+  Peer& second = connect("b");
+  connections.finishAll(fleet::NotLeader{2}, fleet::LinkEnd::notLeader);
+  ASSERT_TRUE(until([&] { return first.end && second.end; }));
+  EXPECT_EQ(first.all<fleet::NotLeader>().at(0).leader, 2);
+  EXPECT_EQ(second.all<fleet::NotLeader>().size(), 1u);
+  EXPECT_EQ(connections.memberCount(), 0u);
+}
+
+}  // namespace
+}  // namespace cairnjunction::testing
--- /dev/null
+++ b/tests/fleet/coordinator_parts.hpp
@@ -0,0 +1,146 @@
+// For tests of a coordinator's parts: a log that commits at once, and members that are connected by links on
+// loopback.
+#pragma once
+
+#include <functional>
+#include <map>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "fleet/connection_table.hpp"
+#include "fleet/event_log.hpp"
+#include "fleet/lease_log.hpp"
+#include "fleet/settings.hpp"
+#include "net_peers.hpp"
+#include "temporary_folder.hpp"
+
+namespace cairnjunction::testing {
+
+// Commits what is proposed at once, or when the test says so.
+class ScriptedLog final : public consensus::ReplicatedLog {
+ public:
+  explicit ScriptedLog(consensus::StateMachine& machine) : machine_(machine) {}
+
+  void propose(std::string entry, Done done) override {
+    if (!leads) return done(false);
+    if (holds)
+      return held_.push_back(
+          [this, entry = std::move(entry), done = std::move(done)] { commit(entry, done); });
+    commit(entry, done);
+  }
+  bool isLeader() const override { return leads; }
+  int leader() const override { return leads ? 1 : 2; }
+  void onLeadershipChange(std::function<void()> changed) override { changed_ = std::move(changed); }
+  void stop(std::function<void()> done) override { done(); }
+
+  void setLeads(bool now) {
+    leads = now;
+    if (changed_) changed_();
+  }
+  // Commits what waits.
+  void commitHeld() {
+    for (const auto& entry : std::exchange(held_, {})) entry();
+  }
+
+  bool leads = true;
+  bool holds = false;  // entries wait for commitHeld()
+  int proposals = 0;
+
+ private:
+  void commit(const std::string& entry, const Done& done) {
+    ++proposals;
+    machine_.apply(entry);
+    done(true);
+  }
+
+  consensus::StateMachine& machine_;
+  std::function<void()> changed_;
+  std::vector<std::function<void()>> held_;
+};
+
+class CoordinatorPartsTest : public LoopTest {
+ protected:
+  struct Peer {
+    fleet::PeerConnectionPtr connection;  // the coordinator's side
+    std::shared_ptr<fleet::Link> link;    // the member's side
+    std::vector<fleet::Message> received;
+    std::optional<fleet::LinkEnd> end;
+
+    template <class T>
+    std::vector<T> all() const {
+      std::vector<T> found;
+      for (const fleet::Message& message : received)
+        if (const T* typed = std::get_if<T>(&message)) found.push_back(*typed);
+      return found;
+    }
+  };
+
+  const lease::LeaseKey list{"list", 0};
+  TemporaryFolder folder{"coordinator_parts"};
+  fleet::EventLog events{folder.file("log"), fleet::EventLog::Role::coordinator, "1"};
+  fleet::Settings settings = makeSettings();
+  fleet::LeaseStateMachine machine;
+  ScriptedLog replicated{machine};
+  fleet::LeaseLog log{machine};
+  fleet::ConnectionTable connections;
+  std::map<std::string, Peer> peers;
+  tcp::acceptor acceptor{io, loopback()};
+
+  void SetUp() override {
+    log.attach(replicated);
+    log.beginLeading();
+  }
+  void TearDown() override {
+    connections.abandonAll();
+    for (const auto& [name, peer] : peers)
+      if (peer.link) peer.link->abandon();
+    io.restart();
+    io.poll();
+  }
+
+  static fleet::Settings makeSettings() {
+    fleet::Settings settings;
+    settings.fleet = "yard";
+    settings.leaderSettleTime = std::chrono::milliseconds(0);
+    lease::TaskSpec listTask;
+    listTask.task = "list";
+    lease::TaskSpec probeTask;
+    probeTask.task = "probe";
+    probeTask.shards = 4;
+    settings.tasks = {listTask, probeTask};
+    return settings;
+  }
+  // A link between a new entry of the table and a member, which has joined and sent a heartbeat.
+  Peer& connect(const std::string& name) {
+    Peer& peer = peers[name];
+    peer.connection = std::make_shared<fleet::PeerConnection>();
+    peer.connection->member = {name, 1};
+    peer.connection->eligible = true;
+    peer.connection->joined = true;
+    peer.connection->lastHeartbeat = lease::BootTime(std::chrono::milliseconds(500));
+    acceptor.async_accept([this, connection = peer.connection](error_code ec, tcp::socket socket) {
+      ASSERT_FALSE(ec);
+      connection->link = fleet::Link::accepted(
+          io, std::move(socket), {},
+          {nullptr, [](const fleet::Message&) {},
+           [this, connection](fleet::LinkEnd, const std::string&) { connections.remove(connection); }});
+    });
+    peer.link = fleet::Link::dial(
+        io, acceptor.local_endpoint(), {},
+        {nullptr, [&peer](const fleet::Message& message) { peer.received.push_back(message); },
+         [&peer](fleet::LinkEnd end, const std::string&) { peer.end = end; }});
+    EXPECT_TRUE(until([&] { return peer.connection->link && peer.link->isUp(); }));
+    connections.add(peer.connection);
+    connections.addMember(peer.connection);
+    log.propose(lease::MemberJoined{peer.connection->member, ""}, [](const lease::ApplyResult&) {});
+    return peer;
+  }
+  std::string holder(const lease::LeaseKey& key) const {
+    const lease::LeaseRecord* record = log.table().find(key);
+    return record && record->heldAt(log.now()) ? record->holder.name : "";
+  }
+};
+
+}  // namespace cairnjunction::testing
--- /dev/null
+++ b/tests/fleet/fallback_polling_test.cpp
@@ -0,0 +1,43 @@
+// When a member polls discovery by itself.
+#include "fleet/fallback_polling.hpp"
+
+#include <gtest/gtest.h>
+
+#include <chrono>
+#include <map>
+
+namespace cairnjunction::testing {
+namespace {
+
+using namespace std::chrono_literals;
+
+lease::BootTime at(lease::Duration sinceBoot) { return lease::BootTime(sinceBoot); }
+
+// All three hundred members of a fleet become isolated at once. They poll discovery, but no more than one or
+// two in any second; one without a list comes sooner; and all stop when lists of the lease holder come again.
+TEST(FallbackPolling, OnlyTheLeaseHolderPollsAndWhoeverIsIsolatedAfterItsDelay) {
+  fleet::FallbackPolling polling;
+  EXPECT_FALSE(polling.shouldPoll(at(1s)));
+  polling.onLeaseChange(true);
+  EXPECT_TRUE(polling.shouldPoll(at(1s)));
+  polling.onLeaseChange(false);
+  std::map<std::int64_t, int> pollsBySecond;
+  for (int i = 0; i < 300; ++i) {
+    fleet::FallbackPolling one;
+    one.onIsolationChange(true, at(0s), 300, true, i / 300.0);
+    ++pollsBySecond[one.pollsAt()->time_since_epoch().count() / 1000];
+    EXPECT_TRUE(one.shouldPoll(*one.pollsAt()));
+  }
+  for (const auto& [second, polls] : pollsBySecond) EXPECT_LE(polls, 2) << second;
+  polling.onIsolationChange(true, at(1s), 300, false, 1);
+  EXPECT_EQ(*polling.pollsAt(), at(31s)) << "with no list at all it can't wait as long";
+  polling.onIsolationChange(false, at(2s), 300, false, 1);
+  EXPECT_FALSE(polling.shouldPoll(at(100s)));
+  polling.onListRejected(at(2s), 10, 0.5);
+  EXPECT_TRUE(polling.shouldPoll(at(7s)));
+  polling.onListAccepted(false);
+  EXPECT_FALSE(polling.shouldPoll(at(7s)));
+}
+
+}  // namespace
+}  // namespace cairnjunction::testing
--- a/tests/fleet/rig.hpp
+++ b/tests/fleet/fleet_processes.hpp
@@ -1,4 +1,4 @@
-// Keepers as processes and members of the test's own, on loopback. A test waits for what it expects.
+// Coordinators as processes and members of the test's own, on loopback. A test waits for what it expects.
 #pragma once
 
 #include <signal.h>
@@ -21,24 +21,32 @@
 
 namespace cairnjunction::testing {
 
-inline std::string keeperProgram;  // set once, by main
+inline std::string coordinatorProgram;  // its path; set once, by main
 
-class KeeperProcess {
+class CoordinatorProcess {
  public:
-  KeeperProcess(const std::string& file, int number, const std::string& folder) {
-    std::vector<std::string> words{keeperProgram, file,    "--number",      std::to_string(number), "--dir",
-                                   folder,        "--log", folder + ".log", "--snapshot-every",     "64"};
+  CoordinatorProcess(const std::string& file, int number, const std::string& folder) {
+    std::vector<std::string> arguments{coordinatorProgram,
+                                       file,
+                                       "--number",
+                                       std::to_string(number),
+                                       "--dir",
+                                       folder,
+                                       "--log",
+                                       folder + ".log",
+                                       "--snapshot-every",
+                                       "64"};
     std::vector<char*> argv;
-    for (std::string& word : words) argv.push_back(word.data());
+    for (std::string& argument : arguments) argv.push_back(argument.data());
     argv.push_back(nullptr);
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_addopen(&actions, 2, (folder + ".err").c_str(), O_WRONLY | O_CREAT | O_TRUNC,
                                      0600);
-    EXPECT_EQ(posix_spawn(&pid_, keeperProgram.c_str(), &actions, nullptr, argv.data(), environ), 0);
+    EXPECT_EQ(posix_spawn(&pid_, coordinatorProgram.c_str(), &actions, nullptr, argv.data(), environ), 0);
     posix_spawn_file_actions_destroy(&actions);
   }
-  ~KeeperProcess() { end(SIGKILL); }
+  ~CoordinatorProcess() { end(SIGKILL); }
   void signal(int which) { ::kill(pid_, which); }
   int end(int which) {
     if (pid_ <= 0) return -1;
@@ -59,12 +67,11 @@
   const std::string dir = ::testing::TempDir() + "fleet_" + std::to_string(::getpid()) + "/";
   std::vector<unsigned short> ports;
   std::vector<std::unique_ptr<ReservedPort>> reserved;  // they are held for as long as the test lasts
-  std::map<int, std::unique_ptr<KeeperProcess>> keepers;
-  std::vector<std::unique_ptr<fleet::EventLog>> journals;  // outlive the members that write them
-  struct Seen {
-    std::set<lease::LeaseKey> owns;
-    std::vector<fleet::Command> orders;
-    int begun = 0;
+  std::map<int, std::unique_ptr<CoordinatorProcess>> coordinators;  // by number
+  std::vector<std::unique_ptr<fleet::EventLog>> eventLogs;          // outlive the members that write them
+  struct Seen {                                                     // by one member
+    std::set<lease::LeaseKey> leases;
+    std::vector<fleet::Command> commands;
   };
   std::map<std::string, Seen> seen;
   std::map<std::string, std::unique_ptr<fleet::Member>> members;
@@ -72,8 +79,8 @@
 
   void SetUp() override {
     std::filesystem::create_directories(dir);
-    // Below the system's own ports, which connections of other tests are given; a keeper comes back to its
-    // own.
+    // Below the system's own ports, which connections of other tests are given; a coordinator comes back to
+    // its own.
     static unsigned short next = 11000;
     while (ports.size() < 6) {
       auto port = std::make_unique<ReservedPort>(io, next++);
@@ -85,7 +92,7 @@
   }
   void TearDown() override {
     members.clear();
-    keepers.clear();
+    coordinators.clear();
     if (!HasFailure()) std::filesystem::remove_all(dir);
   }
   std::string fileText(const std::string& fleet = "yard") const {
@@ -100,35 +107,35 @@
            "800\n";
   }
   std::string folder(int number) const { return dir + "k" + std::to_string(number); }
-  void startKeeper(int number) {
+  void startCoordinator(int number) {
     std::filesystem::create_directories(folder(number));
-    keepers[number] = std::make_unique<KeeperProcess>(dir + "fleet.toml", number, folder(number));
+    coordinators[number] = std::make_unique<CoordinatorProcess>(dir + "fleet.toml", number, folder(number));
   }
-  void startKeepers() {
-    for (int i = 1; i <= 3; ++i) startKeeper(i);
+  void startCoordinators() {
+    for (int i = 1; i <= 3; ++i) startCoordinator(i);
   }
   fleet::Member& join(const std::string& name, const std::string& extra = "",
                       const std::string& fleet = "yard") {
     const fleet::Settings settings = fleet::parseSettings(fileText(fleet) + extra, "test");
-    const auto& journal =
-        journals.emplace_back(std::make_unique<fleet::EventLog>(dir + name + ".log", "member", name));
-    Seen& s = seen[name] = {};
+    const auto& eventLog = eventLogs.emplace_back(
+        std::make_unique<fleet::EventLog>(dir + name + ".log", fleet::EventLog::Role::member, name));
+    Seen& own = seen[name] = {};
     fleet::Member::Events events;
-    events.onLeaseChange = [&s](const lease::LeaseKey& key, bool owns) {
-      if (owns) s.owns.insert(key), ++s.begun;
-      else s.owns.erase(key);
+    events.onLeaseChange = [&own](const lease::LeaseKey& key, bool holds) {
+      if (holds) own.leases.insert(key);
+      else own.leases.erase(key);
     };
-    events.onCommand = [&s](const fleet::Command& order) { s.orders.push_back(order); };
-    members[name] = std::make_unique<fleet::Member>(io, settings, name, events, *journal);
+    events.onCommand = [&own](const fleet::Command& command) { own.commands.push_back(command); };
+    members[name] = std::make_unique<fleet::Member>(io, settings, name, events, *eventLog);
     return *members[name];
   }
-  std::string owner(const lease::LeaseKey& key) const {  // as members see it; empty: none of ours
+  std::string holder(const lease::LeaseKey& key) const {  // as members see it; empty: none of ours
     for (const auto& [name, member] : members)
-      if (seen.at(name).owns.count(key) && member->holds(key)) return name;
+      if (seen.at(name).leases.count(key) && member->holds(key)) return name;
     return {};
   }
   int leader() const {
-    for (const auto& [number, keeper] : keepers) try {
+    for (const auto& [number, coordinator] : coordinators) try {
         if (fleet::queryAdminSocket(folder(number) + "/control.sock", {{"ask", "status"}})["leads"])
           return number;
       } catch (const std::runtime_error&) {  // it is not there
--- /dev/null
+++ b/tests/fleet/frame_test.cpp
@@ -0,0 +1,72 @@
+// Frames of every message.
+#include "fleet/frame.hpp"
+
+#include <gtest/gtest.h>
+
+#include <chrono>
+#include <random>
+
+namespace cairnjunction::testing {
+namespace {
+
+using namespace std::chrono_literals;
+using fleet::Message;
+
+std::vector<Message> oneOfEach() {
+  const lease::LeaseKey key{"list", 2};
+  const lease::BootTime stamp(123ms);
+  return {fleet::JoinRequest{1, "yard", {"n0", 7}, "z", true},
+          fleet::VoterHandshakeRequest{1, "yard", 2, {9, 3}},
+          fleet::VoterHandshakeResponse{2, {9, 3}, "why"},
+          fleet::JoinResponse{1, 5, {{key, {4, 3, {}}}}},
+          fleet::NotLeader{3},
+          fleet::JoinRejected{"no"},
+          fleet::Heartbeat{stamp, {{key, 4, 3}}},
+          fleet::HeartbeatResponse{5, {{key, 4, 3, stamp, 3s}}, {{key, 4}}},
+          fleet::ReleaseLease{key, 4, true},
+          fleet::TransferLease{key, 4},
+          fleet::Command{{key, 4, 3, {"n0", 7}}, true, std::string(1000, 'x')},
+          fleet::Leave{}};
+}
+
+// A peer sends frames that are cut short, or with bytes changed. Each is read as a message or ends in
+// BadFrame, and nothing is read beyond its end.
+TEST(Frame, IsReadAsItWasWrittenAndNothingElseIs) {
+  std::mt19937_64 random(1);
+  for (const Message& message : oneOfEach()) {
+    const std::string bytes = *fleet::encode(message);
+    const std::string payload = bytes.substr(4);
+    EXPECT_EQ(*fleet::encode(fleet::decode(payload)), bytes) << message.index();
+    for (std::size_t size = 0; size < std::min<std::size_t>(payload.size(), 64); ++size)
+      EXPECT_THROW(fleet::decode(payload.substr(0, size)), fleet::BadFrame);
+    for (int i = 0; i < 3000; ++i) {
+      std::string noise = payload;
+      for (std::uint64_t changes = 1 + random() % 3; changes > 0; --changes)
+        noise[random() % noise.size()] = static_cast<char>(random());
+      try {
+        fleet::decode(noise);
+      } catch (const fleet::BadFrame&) {
+      }
+    }
+  }
+  EXPECT_THROW(fleet::encode(fleet::Command{{}, false, std::string(fleet::kMaxFrameBytes, 'x')}),
+               fleet::BadFrame);
+}
+
+TEST(Frame, ErrorsSayWhatWasFoundAndExpected) {
+  const auto errorOf = [](const std::string& payload) -> std::string {
+    try {
+      fleet::decode(payload);
+    } catch (const fleet::BadFrame& bad) {
+      return bad.what();
+    }
+    return "none";
+  };
+  EXPECT_EQ(errorOf("\x92\x04\x92\x01\x02"), "a message of kind 4 with 2 values, expected 1");
+  EXPECT_EQ(errorOf("\x92\x04\x01"), "a message of kind 4 whose values are no array");
+  EXPECT_EQ(errorOf("\x92\x63\x90"), "a message of unknown kind 99");
+  EXPECT_EQ(errorOf("\x91\x04"), "a frame that is no pair of kind and values");
+}
+
+}  // namespace
+}  // namespace cairnjunction::testing
--- /dev/null
+++ b/tests/fleet/held_leases_test.cpp
@@ -0,0 +1,92 @@
+// The leases that a member holds.
+#include "fleet/held_leases.hpp"
+
+#include <gtest/gtest.h>
+
+#include <chrono>
+#include <string>
+
+namespace cairnjunction::testing {
+namespace {
+
+using namespace std::chrono_literals;
+using fleet::LeaseEndReason;
+
+lease::BootTime at(lease::Duration sinceBoot) { return lease::BootTime(sinceBoot); }
+
+class HeldLeasesTest : public ::testing::Test {
+ protected:
+  const lease::LeaseKey list{"list", 0};
+  const lease::Member self{"n0", 7};
+  std::vector<std::string> changes;
+  fleet::HeldLeases leases{{[this](const lease::LeaseKey& key, lease::Epoch epoch) {
+                              changes.push_back("begin " + key.task + " " + std::to_string(epoch));
+                            },
+                            [this](const lease::LeaseKey& key, lease::Epoch epoch, LeaseEndReason reason) {
+                              EXPECT_NE(leases.activeEpoch(key), epoch)
+                                  << "it is not held any more when this is called";
+                              changes.push_back("end " + key.task + " " + std::to_string(epoch) + " " +
+                                                std::string(nameOf(reason)));
+                            }}};
+
+  fleet::LeaseGrant grant(lease::Epoch epoch, lease::Duration askedAt) {
+    return {list, epoch, 0, at(askedAt), 1000ms};
+  }
+};
+
+TEST_F(HeldLeasesTest, AGrantBeginsALeaseAndRenewalsExtendIt) {
+  leases.onGrant(grant(1, 0ms), at(10ms));
+  leases.onGrant(grant(1, 500ms), at(510ms));
+  EXPECT_EQ(changes, std::vector<std::string>{"begin list 1"});
+  EXPECT_EQ(leases.activeEpoch(list), 1u);
+  EXPECT_EQ(leases.nextExpiry(), at(1490ms)) << "from the heartbeat, less the drift of clocks";
+  ASSERT_EQ(leases.toRenew(at(600ms)).size(), 1u);
+  EXPECT_EQ(leases.toRenew(at(600ms))[0].epoch, 1u);
+  EXPECT_TRUE(leases.toRenew(at(1490ms)).empty());
+}
+
+// Nobody answers this member's heartbeats. Its lease ends by its own clock, and an answer that comes later
+// does not bring it back.
+TEST_F(HeldLeasesTest, ALeaseThatIsNotRenewedExpires) {
+  leases.onGrant(grant(1, 0ms), at(10ms));
+  leases.endExpired(at(989ms));
+  EXPECT_TRUE(leases.isValid(list, at(989ms)));
+  leases.endExpired(at(990ms));
+  EXPECT_FALSE(leases.isValid(list, at(990ms)));
+  EXPECT_FALSE(leases.nextToken(list, self, at(990ms)));
+  leases.onGrant(grant(1, 900ms), at(1000ms));
+  EXPECT_EQ(changes, (std::vector<std::string>{"begin list 1", "end list 1 expired"}));
+  EXPECT_FALSE(leases.nextExpiry());
+}
+
+// The lease was granted to another member and back to this one, which has not noticed. It ends under the old
+// epoch before it begins under the new one.
+TEST_F(HeldLeasesTest, ALaterEpochSupersedes) {
+  leases.onGrant(grant(1, 0ms), at(10ms));
+  leases.onGrant(grant(3, 100ms), at(110ms));
+  EXPECT_EQ(changes, (std::vector<std::string>{"begin list 1", "end list 1 superseded", "begin list 3"}));
+  leases.end(list, 1, LeaseEndReason::revoked);
+  EXPECT_EQ(leases.activeEpoch(list), 3u) << "of an epoch that is not held";
+  leases.end(list, 3, LeaseEndReason::released);
+  leases.onGrant(grant(3, 200ms), at(210ms));
+  EXPECT_EQ(leases.activeEpoch(list), std::nullopt) << "a released lease is not renewed";
+}
+
+TEST_F(HeldLeasesTest, TokensCountUpWithinTheEpoch) {
+  EXPECT_FALSE(leases.nextToken(list, self, at(0ms)));
+  leases.onGrant(grant(2, 0ms), at(10ms));
+  EXPECT_EQ(leases.nextToken(list, self, at(20ms)), (lease::FencingToken{list, 2, 1, self}));
+  EXPECT_EQ(leases.nextToken(list, self, at(20ms)), (lease::FencingToken{list, 2, 2, self}));
+  EXPECT_EQ(leases.toRenew(at(20ms))[0].sequence, 2u);
+}
+
+TEST_F(HeldLeasesTest, AllEndWhenTheMemberLeaves) {
+  leases.onGrant(grant(1, 0ms), at(10ms));
+  leases.onGrant({{"probe", 2}, 5, 0, at(0ms), 1000ms}, at(10ms));
+  leases.endAll(LeaseEndReason::leaving);
+  EXPECT_EQ(changes, (std::vector<std::string>{"begin list 1", "begin probe 5", "end list 1 leaving",
+                                               "end probe 5 leaving"}));
+}
+
+}  // namespace
+}  // namespace cairnjunction::testing
--- a/tests/fuzz/fleet_frame.cpp
+++ b/tests/fuzz/fleet_frame.cpp
@@ -9,7 +9,7 @@
   using namespace cairnjunction::fleet;
   try {
     const Message message = decode({reinterpret_cast<const char*>(data), size});
-    const Bytes again = encode(message);
+    const SharedFrame again = encode(message);
     if (*encode(decode(std::string_view(*again).substr(4))) != *again) std::abort();
   } catch (const BadFrame&) {
   }
--- a/tests/lab/checks_test.cpp
+++ b/tests/lab/checks_test.cpp
@@ -60,14 +60,14 @@
   static std::string started(int ms, int incarnation) {
     return line(ms, "started", {{"incarnation", incarnation}});
   }
-  static std::string begun(int ms, int epoch) { return line(ms, "duty-begun", key(epoch)); }
-  static std::string ended(int ms, int epoch) { return line(ms, "duty-ended", key(epoch)); }
-  static std::string told(int ms, int version) { return line(ms, "list-taken", {{"version", version}}); }
-  static std::string refused(int ms, int epoch) { return line(ms, "order-refused", key(epoch)); }
+  static std::string begun(int ms, int epoch) { return line(ms, "lease-acquired", key(epoch)); }
+  static std::string ended(int ms, int epoch) { return line(ms, "lease-ended", key(epoch)); }
+  static std::string told(int ms, int version) { return line(ms, "list-accepted", {{"version", version}}); }
+  static std::string refused(int ms, int epoch) { return line(ms, "command-rejected", key(epoch)); }
   static std::string taken(int ms, int epoch, const char* from, int incarnation) {
     json fields = key(epoch);
     fields.update({{"from", from}, {"from_incarnation", incarnation}, {"sequence", 1}});
-    return line(ms, "order-taken", fields);
+    return line(ms, "command-applied", fields);
   }
   std::set<std::string> broken() {
     std::set<std::string> names;
--- a/tools/lab/checks.cpp
+++ b/tools/lab/checks.cpp
@@ -7,11 +7,18 @@
 #include <optional>
 #include <set>
 
+#include "fleet/event_names.hpp"
+
 namespace cairnjunction::lab {
 namespace {
 
+using fleet::Event;
 using nlohmann::json;
 
+bool isEvent(const json& line, Event event) {
+  return line.at("event").get_ref<const std::string&>() == fleet::nameOf(event);
+}
+
 constexpr std::size_t kToldMost = 5;
 // A fault may show in calls that were under way before it, and in those that came while its process returned.
 constexpr std::int64_t kBeforeMs = 100, kAfterMs = 2000;
@@ -86,9 +93,9 @@
 std::vector<Told> toldOf(const std::vector<json>& lines) {
   std::vector<Told> all;
   for (const json& line : lines) {
-    const std::string event = line.at("event");
-    if (event == "started" || all.empty()) all.push_back({line.at("boot_ms").get<std::int64_t>(), {}});
-    if (event == "list-taken" || event == "list-told")
+    if (isEvent(line, Event::started) || all.empty())
+      all.push_back({line.at("boot_ms").get<std::int64_t>(), {}});
+    if (isEvent(line, Event::listAccepted) || isEvent(line, Event::listReceived))
       all.back().versions.emplace_back(line.at("boot_ms"), line.at("version"));
   }
   return all;
@@ -147,10 +154,10 @@
   for (const auto& [name, lines] : l.members) {
     std::string incarnation;
     for (const json& line : lines) {
-      const std::string event = line.at("event");
-      if (event == "started") incarnation = line.at("incarnation").dump();
-      if (event == "duty-begun") note(keyText(line), line.at("epoch"), name + "#" + incarnation, "begun");
-      if (event == "order-taken")
+      if (isEvent(line, Event::started)) incarnation = line.at("incarnation").dump();
+      if (isEvent(line, Event::leaseAcquired))
+        note(keyText(line), line.at("epoch"), name + "#" + incarnation, "begun");
+      if (isEvent(line, Event::commandApplied))
         note(keyText(line), line.at("epoch"),
              line.at("from").get<std::string>() + "#" + line.at("from_incarnation").dump(),
              "taken by " + name);
@@ -164,7 +171,7 @@
   for (const auto& [name, lines] : l.members) {
     std::map<std::string, std::uint64_t> highest;
     for (const json& line : lines) {
-      if (line.at("event") != "order-taken") continue;
+      if (!isEvent(line, Event::commandApplied)) continue;
       ++judge.check.counted;
       std::uint64_t& seen = highest[keyText(line)];
       const std::uint64_t epoch = line.at("epoch");
@@ -202,7 +209,7 @@
 Check oldOrdersCame(const Ledgers& l) {
   Judge judge("old-orders-came-and-were-refused");
   for (const auto& [name, lines] : l.members)
-    for (const json& line : lines) judge.check.counted += line.at("event") == "order-refused";
+    for (const json& line : lines) judge.check.counted += isEvent(line, Event::commandRejected);
   const auto least = l.run.value("expect_refused", std::uint64_t{0});
   if (judge.check.counted < least)
     judge.broken(std::to_string(judge.check.counted) + " were, and at least " + std::to_string(least) +
@@ -221,10 +228,9 @@
   std::vector<Span> all;
   for (const auto& [name, lines] : l.members)
     for (const json& line : lines) {
-      const std::string event = line.at("event");
-      if (event == "duty-begun")
+      if (isEvent(line, Event::leaseAcquired))
         all.push_back({name, line.at("duty"), line.at("boot_ms"), 0, line.at("shard"), line.at("epoch"), ""});
-      if (event == "duty-ended")
+      if (isEvent(line, Event::leaseEnded))
         for (Span& s : all)
           if (s.member == name && s.endMs == 0 && s.duty == line.at("duty") && s.shard == line.at("shard") &&
               s.epoch == line.at("epoch"))
@@ -281,8 +287,8 @@
   std::uint64_t refusedOrders = 0, taken = 0;
   for (const auto& [name, lines] : l.members)
     for (const json& line : lines) {
-      refusedOrders += line.at("event") == "order-refused";
-      taken += line.at("event") == "order-taken";
+      refusedOrders += isEvent(line, Event::commandRejected);
+      taken += isEvent(line, Event::commandApplied);
     }
   out["orders_taken"] = taken;
   out["orders_refused"] = refusedOrders;
--- a/tools/lab/run.cpp
+++ b/tools/lab/run.cpp
@@ -11,6 +11,7 @@
 #include <sstream>
 
 #include "fleet/boot_clock.hpp"
+#include "fleet/event_names.hpp"
 #include "lab/ledgers.hpp"
 #include "standins/gateway_config.hpp"
 
@@ -27,6 +28,10 @@
 
 std::string text(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
+bool isEvent(const json& line, fleet::Event event) {
+  return line.at("event").get_ref<const std::string&>() == fleet::nameOf(event);
+}
+
 std::int64_t bootMs() { return fleet::bootTime().time_since_epoch().count(); }
 
 }  // namespace
@@ -178,7 +183,7 @@
 void Run::restart(Node& node) {
   if (over_) return;
   node.process.reset();
-  start(node, node.name.front() == 'k' ? "cairnjunction-keeper" : "cairnjunction");
+  start(node, node.name.front() == 'k' ? "cairnjunction-coordinator" : "cairnjunction");
 }
 
 bool Run::until(milliseconds most, const std::function<bool()>& done) {
@@ -213,7 +218,7 @@
       dir + "/workers.out");
   for (int i = 0; i < experiment_.workers; ++i) change({0, i, "SERVING"});
   for (auto& [name, node] : nodes_)
-    if (name.front() == 'k') start(node, "cairnjunction-keeper");
+    if (name.front() == 'k') start(node, "cairnjunction-coordinator");
   if (experiment_.fleet && !until(kReady, [&] { return !leader().empty(); }))
     throw CouldNotRun("the keepers chose no leader (see k1.jsonl and k1.out)");
   for (auto& [name, node] : nodes_)
@@ -230,7 +235,7 @@
   const auto told = [&](auto& entry) {
     const auto lines = journalOf(entry.first);
     return entry.first.front() != 'n' || std::any_of(lines.begin(), lines.end(), [](const json& line) {
-             return line["event"] == "list-taken" || line["event"] == "list-told";
+             return isEvent(line, fleet::Event::listAccepted) || isEvent(line, fleet::Event::listReceived);
            });
   };
   if (experiment_.fleet && !until(kReady, [&] {
@@ -254,8 +259,8 @@
     std::map<std::uint64_t, std::uint64_t> begun;  // by shard
     for (const json& line : journalOf(name)) {
       if (line.value("duty", "") != duty) continue;
-      if (line["event"] == "duty-begun") begun[line["shard"]] = line["epoch"];
-      if (line["event"] == "duty-ended") begun.erase(line["shard"].get<std::uint64_t>());
+      if (isEvent(line, fleet::Event::leaseAcquired)) begun[line["shard"]] = line["epoch"];
+      if (isEvent(line, fleet::Event::leaseEnded)) begun.erase(line["shard"].get<std::uint64_t>());
     }
     for (const auto& [shard, epoch] : begun)
       if (epoch > highest) owner = name, highest = epoch;
@@ -269,9 +274,9 @@
   for (const auto& [name, node] : nodes_) {
     if (name.front() != 'k') continue;
     for (const json& line : journalOf(name)) {
-      if (line["event"] == "leads" && line["boot_ms"].get<std::int64_t>() > last)
+      if (isEvent(line, fleet::Event::leadershipAcquired) && line["boot_ms"].get<std::int64_t>() > last)
         leader = name, last = line["boot_ms"];
-      if (line["event"] == "leads-no-more" && leader == name) leader.clear();
+      if (isEvent(line, fleet::Event::leadershipLost) && leader == name) leader.clear();
     }
   }
   return leader;
