--- a/src/fleet/connection_table.cpp
+++ b/src/fleet/connection_table.cpp
@@ -17,7 +17,7 @@
 }
 
 PeerConnectionPtr ConnectionTable::findJoined(const lease::Member& member) const {
-  PeerConnectionPtr connection = findMember(member.name);
+  const PeerConnectionPtr connection = findMember(member.name);
   return connection && connection->joined && connection->member == member ? connection : nullptr;
 }
 
--- a/src/fleet/coordinator.cpp
+++ b/src/fleet/coordinator.cpp
@@ -138,7 +138,7 @@
 
 void Coordinator::on(const PeerConnectionPtr& connection, const VoterHandshakeRequest& request) {
   const bool isPeer = request.protocol == kProtocol && request.fleet == settings_.fleet &&
-                      request.number != number_ && settings_.coordinator(request.number);
+                      request.number != number_ && settings_.coordinator(request.number) != nullptr;
   if (!isPeer)
     return reject(connection, "keeper " + std::to_string(request.number) + " of fleet '" + request.fleet +
                                   "', protocol " + std::to_string(request.protocol) + ": not one of ours");
@@ -219,7 +219,7 @@
       }));
 }
 
-void Coordinator::on(const PeerConnectionPtr& connection, const Leave&) {
+void Coordinator::on(const PeerConnectionPtr& connection, const Leave& /*leave*/) {
   connection->eligible = false;
   log_.propose(lease::MemberLeft{connection->member},
                lifetime_.guard([this, connection](const lease::ApplyResult&) {
--- a/src/fleet/coordinator_connection.cpp
+++ b/src/fleet/coordinator_connection.cpp
@@ -34,7 +34,7 @@
 
 const CoordinatorAddress& CoordinatorConnection::nextCoordinator() {
   const int hint = std::exchange(leaderHint_, 0);
-  if (const CoordinatorAddress* leader = hint ? settings_.coordinator(hint) : nullptr) return *leader;
+  if (const CoordinatorAddress* leader = hint != 0 ? settings_.coordinator(hint) : nullptr) return *leader;
   return settings_.coordinators[nextIndex_++ % settings_.coordinators.size()];
 }
 
--- a/src/fleet/frame.cpp
+++ b/src/fleet/frame.cpp
@@ -85,7 +85,9 @@
   return {message.sentAt.time_since_epoch().count(), std::move(held)};
 }
 void fill(Heartbeat& message, HeartbeatRow row) {
-  auto& [sentAt, held] = row;
+  std::int64_t sentAt = 0;
+  std::vector<MarkRow> held;
+  std::tie(sentAt, held) = std::move(row);
   message.sentAt = lease::BootTime(lease::Duration(sentAt));
   for (auto& [task, shard, epoch, sequence] : held)
     message.held.push_back({{std::move(task), shard}, epoch, sequence});
@@ -139,7 +141,7 @@
            token.holder.incarnation, message.retained, message.body) = std::move(row);
 }
 
-std::tuple<> rowOf(const Leave&) { return {}; }
+std::tuple<> rowOf(const Leave& /*message*/) { return {}; }
 void fill(Leave& /*message*/, std::tuple<> /*row*/) {}
 
 template <class T>
--- a/src/fleet/lease_granting.cpp
+++ b/src/fleet/lease_granting.cpp
@@ -10,9 +10,9 @@
 using lease::LeaseKey;
 using nlohmann::json;
 
-LeaseGranting::LeaseGranting(boost::asio::io_context& io, const Settings& settings, LeaseLog& log,
+LeaseGranting::LeaseGranting(boost::asio::io_context& io, Settings settings, LeaseLog& log,
                              const ConnectionTable& connections, EventLog& events)
-    : settings_(settings), log_(log), connections_(connections), events_(events), timer_(io) {}
+    : settings_(std::move(settings)), log_(log), connections_(connections), events_(events), timer_(io) {}
 
 void LeaseGranting::start() {
   running_ = true;
@@ -102,7 +102,7 @@
   for (const auto& [key, record] : log_.table().holdings()) {
     const lease::TaskSpec* spec = settings_.taskSpec(key.task);
     // A task with one shard stays where it is: to move it would balance nothing.
-    const bool sharded = spec && spec->shards > 1;
+    const bool sharded = spec != nullptr && spec->shards > 1;
     if (record.holder != connection.member || !record.heldAt(log_.now()) || !sharded) continue;
     connection.link->send(TransferLease{key, record.epoch});
     return;
--- a/src/fleet/lease_granting.hpp
+++ b/src/fleet/lease_granting.hpp
@@ -32,7 +32,7 @@
   // Each move is a moment without a holder, so one lease at a time is moved, and only so often.
   static constexpr lease::Duration kRebalanceInterval{1000};
 
-  LeaseGranting(boost::asio::io_context& io, const Settings& settings, LeaseLog& log,
+  LeaseGranting(boost::asio::io_context& io, Settings settings, LeaseLog& log,
                 const ConnectionTable& connections, EventLog& events);
 
   // While this coordinator leads.
--- a/src/fleet/lease_log.hpp
+++ b/src/fleet/lease_log.hpp
@@ -21,7 +21,7 @@
   void detach() { log_ = nullptr; }
   bool isAttached() const { return log_ != nullptr; }
 
-  bool isLeader() const { return log_ && log_->isLeader(); }
+  bool isLeader() const { return log_ != nullptr && log_->isLeader(); }
   // Number of the coordinator that leads; 0: not known.
   int leader() const { return log_ ? log_->leader() : 0; }
 
--- a/src/fleet/lease_renewal.hpp
+++ b/src/fleet/lease_renewal.hpp
@@ -3,6 +3,7 @@
 #pragma once
 
 #include <map>
+#include <utility>
 #include <vector>
 
 #include "common/callback_guard.hpp"
@@ -14,8 +15,8 @@
 
 class LeaseRenewal {
  public:
-  LeaseRenewal(const Settings& settings, LeaseLog& log, const ConnectionTable& connections)
-      : settings_(settings), log_(log), connections_(connections) {}
+  LeaseRenewal(Settings settings, LeaseLog& log, const ConnectionTable& connections)
+      : settings_(std::move(settings)), log_(log), connections_(connections) {}
 
   // Of a member that has joined. The answer is sent at once if nothing is held, otherwise when it is on the
   // log.
--- a/src/fleet/voter_handshake.cpp
+++ b/src/fleet/voter_handshake.cpp
@@ -4,11 +4,11 @@
 
 namespace cairnjunction::fleet {
 
-VoterHandshake::VoterHandshake(boost::asio::io_context& io, const Settings& settings, int number,
+VoterHandshake::VoterHandshake(boost::asio::io_context& io, Settings settings, int number,
                                consensus::VoterIdentity& identity, EventLog& log,
                                std::function<void(const Result&)> onResult)
     : io_(io),
-      settings_(settings),
+      settings_(std::move(settings)),
       number_(number),
       identity_(identity),
       log_(log),
--- a/src/fleet/voter_handshake.hpp
+++ b/src/fleet/voter_handshake.hpp
@@ -35,7 +35,7 @@
   // coordinator among them, or `rejected` as soon as one of the others has rejected this one, or was rejected
   // by it. After it the handshake goes on until each of the others has answered, so that each can recognise
   // an older copy of this disk later.
-  VoterHandshake(boost::asio::io_context& io, const Settings& settings, int number,
+  VoterHandshake(boost::asio::io_context& io, Settings settings, int number,
                  consensus::VoterIdentity& identity, EventLog& log,
                  std::function<void(const Result&)> onResult);
   ~VoterHandshake();
