--- a/src/app/gateway.cpp
+++ b/src/app/gateway.cpp
@@ -1,4 +1,4 @@
-// One gateway: puts the engine, the fronts, the upstream and discovery together.
+// One gateway process: connects engine, frontends, upstream and discovery; reload and graceful shutdown.
 #include "app/gateway.hpp"
 
 #include <algorithm>
@@ -20,16 +20,17 @@
 using policy::Timestamp;
 using Clock = std::chrono::steady_clock;
 
-// Of the memory, for bodies of requests: each is held twice while it is written to a host.
+// Part of the memory (1/n) for request bodies: each is held twice while it is written to an endpoint.
 constexpr std::size_t kBodyPart = 4;
-// JSON-RPC holds texts and replies; and what workers that speak it are given is one frame of theirs.
+// Part of the memory (1/n) for JSON-RPC's texts and responses; and the largest body, in bytes, for workers
+// that speak JSON-RPC, since it becomes one frame.
 constexpr std::size_t kTextPart = 8;
 constexpr std::uint64_t kJsonBodyMost = 64 << 10;
-// Clients have a third of the descriptors at most for requests; so much of that third is kept by those that
-// have asked, and a quarter is free for those that come.
+// Client requests use at most a third (1/n) of the descriptors. Three quarters of that third may be held by
+// connections that have sent a request; a quarter stays free for new ones.
 constexpr std::size_t kClientPart = 3;
 constexpr std::size_t kKeptNum = 3, kKeptDen = 4;
-// Of the descriptors: listener, discovery, event loop, standard streams and what the libraries open.
+// Descriptors reserved for listener, discovery, event loop, standard streams and libraries.
 constexpr std::size_t kOwnDescriptors = 32;
 
 std::size_t shareOf(std::size_t sockets, std::size_t part, std::size_t of) {
@@ -40,22 +41,25 @@
   return {shareOf(config.sockets, 2, 5), config.connectTimeout, config.module.idleTimeout};
 }
 
-// Both fronts together have what the only one has.
+// With two frontends each gets half of what a single one gets.
 std::size_t clientConnections(const Config& config, bool both) {
   return shareOf(config.sockets, 3, 5) / (both ? 2 : 1);
 }
 
-// Clients that have asked something hold so many at most, as far as that is up to us.
+// Connections that have sent a request; above it idle keep-alive connections are closed
+// (HttpServer::Limits::kept).
 std::size_t keptConnections(const Config& config) {
   return config.sockets / kClientPart * kKeptNum / kKeptDen;
 }
 
-// HTTP connections carry one request at a time, whatever the settings say.
+// The load balancer's settings for this gateway. HTTP connections carry one request at a time; only JSON-RPC
+// workers take several.
 policy::Settings moduleSettings(const Config& config, const jsonrpc::Settings& jsonRpc) {
   policy::Settings settings = config.module;
-  // Danger: an HTTP client holds a connection for each request, and those that find none left fail whatever
-  // they are worth. So the cut begins before: those of least worth are told at once, and their connections
-  // are free again.
+  // An HTTP client holds one connection for each request in flight. If all client connections were in use,
+  // new clients would fail to connect whatever the priority of their requests. The in-flight limit lies below
+  // the number of client connections, so the cutoff rises first: requests of the lowest priority are rejected
+  // at once and free their connections.
   if (!jsonRpc.listen) settings.maxInFlight = static_cast<std::uint32_t>(config.sockets / kClientPart);
   if (jsonRpc.workers.jsonRpc) settings.streamsPerConnection = jsonRpc.workers.streams;
   return settings;
@@ -71,7 +75,8 @@
   return waits;
 }
 
-// Of a stop: for the last answers on their way, and never longer than this in all.
+// Graceful shutdown: time kept for sending the last responses, and the longest time that clients are served
+// as before.
 constexpr Duration kDrainMargin = std::chrono::milliseconds(300);
 constexpr Duration kServeMost = std::chrono::milliseconds(2000);
 
@@ -114,11 +119,12 @@
     jsonrpc::FrontendLimits& limits = jsonRpcSettings_.limits;
     limits.connections = std::min(limits.connections, clientConnections(config, true));
     limits.bytes = std::min(limits.bytes, (config.memoryMb << 20) / kTextPart);
-    // Names of calls go into headers of workers that speak HTTP.
+    // Call ids begin with this name and go into headers to HTTP workers, so it must hold visible characters
+    // only.
     std::string prefix = config.name;
     std::replace_if(
         prefix.begin(), prefix.end(), [](char c) { return c <= ' ' || c >= 0x7f; }, '_');
-    // New with each start: workers may still know names of the last one.
+    // Unique for each start: workers may still remember call ids of the previous process.
     const auto born =
         std::chrono::duration_cast<std::chrono::microseconds>(unixStart_.time_since_epoch()).count();
     jsonRpc_ = std::make_unique<jsonrpc::Frontend>(io, jsonRpcSettings_, engine_,
@@ -129,9 +135,11 @@
     fleet_ = std::make_unique<FleetEndpointLists>(io, *fleet, config.name, discovery_, engine_,
                                                   config.discovery, config.known, !settings_.pollDiscovery,
                                                   [this](const EndpointList& list) { told(list); });
-  // The module asks discovery once it was given a list, an empty one too.
+  // The load balancer begins to poll discovery once it has a list, even an empty one.
   told(config.known ? *config.known : EndpointList{0, true, {}}, EndpointListKind::restored);
-  // Danger: where lists are pushed the module asks for none, and what the agent has counts as told already.
+  // Where endpoint lists are pushed, the load balancer never polls, but the list that discovery has now
+  // already counts as notified. Without this first poll the gateway would use an old list until the next
+  // push.
   if (!settings_.pollDiscovery) pollEndpoints();
   if (config.mgmt)
     adminServer_ = std::make_unique<admin::AdminServer>(
@@ -172,7 +180,8 @@
 
 Timestamp Gateway::now() const { return clock_.now(); }
 
-// By one offset for good: the module takes a host whose start moved for a new process.
+// Uses one fixed offset between the clocks. If it changed, an endpoint's start time would move and the load
+// balancer would take the endpoint for a new process.
 Timestamp Gateway::moduleTime(std::int64_t unixMs) const {
   if (unixMs <= 0) return Timestamp{};
   const Timestamp at =
@@ -210,7 +219,7 @@
   engine_.updateEndpoints(EndpointListKind::unavailable, {});
 }
 
-// --- Hosts ----------------------------------------------------------------------------------------------
+// --- Endpoints --------------------------------------------------------------------------------------------
 
 void Gateway::told(const EndpointList& list) {
   told(list, list.full ? EndpointListKind::replace : EndpointListKind::update);
@@ -220,7 +229,8 @@
   std::vector<policy::EndpointInfo> entries;
   for (const DiscoveredEndpoint& host : list.endpoints) {
     policy::EndpointInfo e;
-    // The uid names a host to the module: it is the same at all gateways, and outlives a new address.
+    // The load balancer identifies an endpoint by its uid, which is the same at all gateways and stays when
+    // the address changes.
     e.address = host.uid;
     e.zone = host.zone;
     e.machineKind = host.machineKind;
@@ -283,7 +293,7 @@
 
 // --- Reload and drain -----------------------------------------------------------------------------------
 
-// The listeners stay as they are until a restart, and so does what JSON-RPC was given beside its classes.
+// Listeners change at a restart only, and so do JSON-RPC's settings other than the classes of its methods.
 void Gateway::reload(const Config& config, const jsonrpc::Settings& jsonRpc) {
   const policy::Settings next = moduleSettings(config, jsonRpcSettings_);
   if ((pools_ && !pools_->mayConfigure(next)) || !engine_.configure(next))
@@ -291,7 +301,8 @@
   settings_ = next;
   if (pools_) pools_->configure(next);
   http_.setTenants(settings_.tenants);
-  // In place: the front goes by them. A method's class has its index in the file, and another one at work.
+  // Assigned in place, since the frontend keeps references to the methods. The index of a method's class is
+  // that in the file until here, and the engine's own from here on.
   for (std::size_t i = 0; i < jsonRpcSettings_.methods.size() && i < jsonRpc.methods.size(); ++i) {
     jsonrpc::MethodSettings& method = jsonRpcSettings_.methods[i];
     method = jsonRpc.methods[i];
@@ -304,16 +315,17 @@
   http_.server().setLimits(clientLimits(config, waits_.clients, jsonRpcSettings_));
 }
 
-// After a stop was asked for, the platform leaves us so long at least.
+// How long after the request for a graceful shutdown the platform kills the process, at the earliest.
 Duration Gateway::killedAfter() const {
   Duration deadline{};
   for (const policy::ClassSettings& c : settings_.classes) deadline = std::max(deadline, c.clientTimeout);
   return std::min<Duration>(deadline, kLongestCounted) + kKillSlack;
 }
 
-// After a stop was asked for, clients that are there are served as ever for so long. Danger: gateways are
-// restarted one after the other, and the next may be asked to stop before the last is back. Clients that are
-// sent away then find nobody. It leaves the time for the slowest answer before we are killed.
+// How long connected clients are served as before once a graceful shutdown has begun. Gateways are restarted
+// one after the other, and the next may begin its shutdown before the previous one is back: clients whose
+// connections closed at once would then find no gateway to connect to. The time is bounded so that the
+// slowest response can still be sent before the platform kills the process.
 Duration Gateway::serveOn() const {
   Duration answer{};
   for (const policy::ClassSettings& c : settings_.classes)
@@ -327,15 +339,16 @@
   draining_ = true;
   drained_ = std::move(done);
   if (fleet_) fleet_->leave();
-  // Where the listening socket is shared, the next process serves already, and clients are sent to it.
-  // Where deadlines leave no time to serve on, they are sent away at once too.
+  // If the listening socket is shared, the next process serves already, so each response closes its
+  // connection and clients reconnect there. The same holds at once where the deadlines leave no time to go on
+  // serving.
   if (shared_ || serveOn() <= kAcceptOn) http_.server().lastAnswers();
   killAt_ = now() + killedAfter();
   drainTimer_.expires_after(kAcceptOn);
   drainTimer_.async_wait(lifetime_.guard([this](error_code ec) {
     if (ec) return;
-    // Danger: what is taken from here on is lost if the kill finds it unanswered, as a request whose second
-    // half is slow to come.
+    // A request accepted from here on, such as one whose body arrives slowly, is lost if the process is
+    // killed before its response is sent. So its time is limited to what is left until then.
     const Duration left = killAt_ - kDrainMargin - now();
     engine_.limitTimeRemaining(left);
     if (pools_) pools_->answerWithin(left);
--- a/src/app/gateway.hpp
+++ b/src/app/gateway.hpp
@@ -1,4 +1,4 @@
-// One gateway: puts the engine, the fronts, the upstream and discovery together, on one event loop.
+// One gateway process: connects engine, frontends, upstream and discovery on one event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,25 +26,26 @@
 
 namespace cairnjunction {
 
-// After a stop was asked for, connections are still accepted for so long: clients hear of it late.
+// How long connections are still accepted after a graceful shutdown began: clients learn of it late.
 inline constexpr std::chrono::milliseconds kAcceptOn{700};
-// The platform kills what has not ended so long after the longest deadline, which counts up to the second of
-// these.
+// The platform kills a process that is still running kKillSlack after the longest client timeout, of which at
+// most kLongestCounted counts.
 inline constexpr std::chrono::milliseconds kKillSlack{700};
 inline constexpr std::chrono::milliseconds kLongestCounted{3000};
 
 class Gateway final : private Runtime {
  public:
-  struct Waits {  // shorter in tests only
+  struct Waits {  // timeouts; tests use shorter ones
     HttpServer::Limits clients;
     DiscoveryClient::Timeouts discovery;
   };
 
-  // Listens and asks discovery at once. Throws boost::system::system_error if it can't listen. `jsonRpc` was
-  // resolved against the settings in `config` (jsonrpc::resolve). With `router` HTTP requests go by it, and
-  // its pools are made; otherwise all go to the hosts from discovery. Throws BadConfig for a server of a pool
-  // with no address. With `fleet` it is a member: lists come from their owner, and its own calls on discovery
-  // only where it is that owner, or alone. Nothing that it serves waits for the fleet.
+  // Listens and contacts discovery at once. Throws boost::system::system_error if it can't listen. `jsonRpc`
+  // must be resolved against the settings in `config` (jsonrpc::resolve). With `router`, HTTP requests are
+  // routed by it and its pools are made; otherwise all go to the endpoints from discovery. Throws BadConfig
+  // for a pool's server that has no address. With `fleet` the gateway is a member: it gets endpoint lists
+  // from the holder of that task's lease, and contacts discovery itself only while it holds the lease or is
+  // isolated. No request waits for the fleet.
   Gateway(boost::asio::io_context& io, const Config& config, Waits waits,
           std::function<void(std::string)> log, const jsonrpc::Settings& jsonRpc = {},
           std::shared_ptr<const route::Router> router = nullptr, const fleet::Settings* fleet = nullptr);
@@ -55,10 +56,10 @@
   boost::asio::ip::tcp::endpoint listening() const { return http_.server().listening(); }
   boost::asio::ip::tcp::endpoint listeningJsonRpc() const { return jsonRpc_->listening(); }
   const jsonrpc::Frontend* jsonRpc() const { return jsonRpc_.get(); }  // null: off
-  // A new configuration: its discovery and limits hold from now on. What is under way goes on.
-  // Resolved as for the constructor. Throws BadConfig, and then nothing has changed.
+  // Applies a new configuration, resolved as for the constructor: its discovery and limits hold from now on,
+  // requests in flight go on. Throws BadConfig; then nothing has changed.
   void reload(const Config& config, const jsonrpc::Settings& jsonRpc = {});
-  void reloadFailed() { ++reloadFailures_; }  // a file was turned down
+  void reloadFailed() { ++reloadFailures_; }  // a configuration file was rejected
   admin::Figures figures() const;
   const admin::AdminServer* adminServer() const { return adminServer_.get(); }  // null: none
   std::size_t openRequests() const { return engine_.activeCalls(); }
@@ -70,7 +71,7 @@
     return http_.server().connections() + upstream_->connectionCount() +
            (jsonRpc_ ? jsonRpc_->connections() : 0) + (pools_ ? pools_->connections() : 0);
   }
-  // Finishes what was taken, then closes all and calls `done`.
+  // Graceful shutdown: finishes accepted requests, then closes all connections and calls `done`.
   void drain(std::function<void()> done);
 
  private:
@@ -98,25 +99,25 @@
   policy::Settings settings_;
   jsonrpc::Settings jsonRpcSettings_;
   Waits waits_;
-  const bool shared_;  // the clients' listening socket is held by others too
+  const bool shared_;  // other processes have the clients' listening socket too
   std::function<void(std::string)> log_;
-  std::function<void(const Config&)> limitUpstream_;  // set with the upstream, so before it
+  std::function<void(const Config&)> limitUpstream_;  // set by makeUpstream(), so declared before upstream_
   std::unique_ptr<EndpointUpstream> upstream_;
   Engine engine_;
   DiscoveryClient discovery_;
   boost::asio::steady_timer waker_, drainTimer_;
   policy::Timestamp wakeAt_{};
-  policy::Timestamp killAt_{};  // in a stop: no sooner than this
+  policy::Timestamp killAt_{};  // graceful shutdown: the platform kills no sooner than this
   std::function<void()> drained_;
   bool ready_ = false, draining_ = false;
-  bool httpEmpty_ = false, jsonRpcEmpty_ = false;  // in a drain: no client is left
-  std::unique_ptr<Pools> pools_;                   // before the front, which goes by them
-  HttpFrontend http_;                              // the fronts last: they may hand over calls from here on
+  bool httpEmpty_ = false, jsonRpcEmpty_ = false;  // graceful shutdown: no connection is left
+  std::unique_ptr<Pools> pools_;                   // before http_, which refers to them
+  HttpFrontend http_;                              // frontends last: they may hand over calls at once
   std::unique_ptr<jsonrpc::Frontend> jsonRpc_;
   std::uint64_t reloads_ = 0, reloadFailures_ = 0;
   std::unique_ptr<admin::AdminServer> adminServer_;
   std::unique_ptr<FleetEndpointLists> fleet_;
-  CallbackGuard lifetime_;  // of what the event loop is still to call
+  CallbackGuard lifetime_;  // guards callbacks still queued in the event loop
 };
 
 }  // namespace cairnjunction
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -54,13 +54,13 @@
   return settings;
 }
 
-// What a running gateway was told by files, for the next reading of them.
+// The configuration in force, to which a reload is compared.
 struct InForce {
   cairnjunction::ConfigShape shape;
-  const jsonrpc::Settings jsonRpc;  // as read: of these only the classes can change
+  const jsonrpc::Settings jsonRpc;  // as read; a reload can change only the classes
 };
 
-// SIGHUP: the file is read anew. A bad one is a line in the log, and the old settings go on.
+// SIGHUP: reads the file again. For a bad one a line is logged, and the settings in force stay.
 void reloadAtEachHangup(boost::asio::signal_set& hangups, cairnjunction::Gateway& gateway, const Files& files,
                         InForce& inForce) {
   hangups.async_wait([&](boost::system::error_code ec, int) {
@@ -82,7 +82,8 @@
 
 int serve(const Files& files) {
   boost::asio::io_context io(1);
-  // Danger: until they are taken, signals end the process; so before anything that takes its time.
+  // Until the signal sets exist, SIGTERM, SIGINT and SIGHUP end the process at once. So they come before
+  // reading the files, which may take long; a signal that arrives meanwhile is kept until it is waited for.
   boost::asio::signal_set stops(io, SIGTERM, SIGINT), hangups(io, SIGHUP);
   Config config = readFile(files, Reading::atStart);
   InForce inForce{config.shape, readJsonRpc(files)};
@@ -101,7 +102,7 @@
   return 0;
 }
 
-// What the files say, without a socket. Variables of the environment are not asked.
+// Checks the files without opening a socket. Environment variables are ignored.
 int check(const Files& files) {
   Config config = cairnjunction::readConfig([&](const char* name) -> const char* {
     return std::string_view(name) == "GW_CONFIG" ? files.config.c_str() : nullptr;
@@ -212,10 +213,10 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  // Large bodies go back to the system when they are done with: by default the allocator keeps ever larger
-  // pieces of them, and their sizes differ.
+  // Memory of large bodies is returned to the system when freed. By default glibc raises this threshold as
+  // large blocks are freed, and keeps ever larger ones.
   mallopt(M_MMAP_THRESHOLD, 128 << 10);
-  std::signal(SIGPIPE, SIG_IGN);  // a peer that left shows as an error of the write
+  std::signal(SIGPIPE, SIG_IGN);  // a closed peer shows as a write error instead
   try {
     return run(argc, argv);
   } catch (const BadConfig& bad) {
--- a/src/app/pools.cpp
+++ b/src/app/pools.cpp
@@ -1,4 +1,5 @@
-// The pools of a file of routes.
+// Pools of a routes file: settings, server addresses and passive health of fixed pools; bounds that all
+// share.
 #include "app/pools.hpp"
 
 #include <algorithm>
@@ -16,7 +17,7 @@
 
 constexpr int kRefused = 503;
 
-// Such a pool has no discovery to ask, and no neighbours that it shares its servers with.
+// Settings of a fixed pool: it never polls discovery, and its in-flight limit is `calls`.
 Settings poolSettings(Settings settings, const route::Pool& pool, std::uint64_t calls) {
   settings.pollDiscovery = false;
   settings.maxPollInterval = {};
@@ -25,8 +26,7 @@
   return settings;
 }
 
-// The shortest time for connecting that a location of the pool names, and never longer than the settings have
-// it.
+// Lowers `time` to the shortest connect timeout among the pool's locations.
 void shorten(const std::vector<route::Location>& locations, const std::string& pool, policy::Duration& time) {
   for (const route::Location& location : locations) {
     if (location.proxy && location.proxy->pool == pool && location.proxy->connectTimeout)
@@ -79,7 +79,7 @@
     const int most = s.connectionsMost > 0
                          ? static_cast<int>(std::min<std::uint32_t>(s.connectionsMost, INT_MAX))
                          : INT_MAX;
-    // The same address may stand there twice, as two servers.
+    // An address that is listed twice counts as two servers, so the index is part of the uid.
     servers_.push_back({s.address + "#" + std::to_string(i), addressOf(io, pool, s.address), most,
                         static_cast<double>(s.weight)});
   }
@@ -106,8 +106,8 @@
   engine_.attemptEnded(std::move(end));
 }
 
-// Danger: an attempt may end while actions of the module are carried out, which must not be fed before they
-// are done.
+// An attempt may end while the engine carries out the load balancer's actions; an endpoint list handed in
+// then would re-enter it. So the update is posted to the event loop, once for all changes of one turn.
 void FixedPool::tellSoon() {
   if (std::exchange(telling_, true)) return;
   asio::post(io_, lifetime_.guard([this] {
@@ -121,7 +121,7 @@
   for (std::size_t i = 0; i < servers_.size(); ++i) {
     policy::EndpointInfo e;
     e.address = servers_[i].uid;
-    // Machines of one weight are one kind: the module learns what such a one does.
+    // Servers of equal weight count as one machine kind, whose speed the load balancer learns.
     e.machineKind = std::to_string(servers_[i].weight);
     e.weight = servers_[i].weight;
     e.maxInFlight = servers_[i].attemptsMost;
--- a/src/app/pools.hpp
+++ b/src/app/pools.hpp
@@ -1,5 +1,5 @@
-// The pools of a file of routes: each with a decision module and an upstream of its own, under bounds that
-// they share, so that a sick one takes neither the descriptors nor the room of another.
+// The pools of a routes file. Each has a load balancer and an upstream of its own; the bounds on descriptors,
+// calls and bytes are shared quotas, so that a failing pool can't use up what the others need.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -28,8 +28,8 @@
 // A pool of fixed addresses.
 class FixedPool final : private Runtime, private DescriptorQuota {
  public:
-  // Looks names of servers up, and waits for it: at the start only. Throws BadConfig for one that has no
-  // address.
+  // Resolves the servers' names and blocks meanwhile, so it is for the start only. Throws BadConfig for a
+  // name without an address.
   FixedPool(boost::asio::io_context& io, const route::Pool& pool, std::size_t index,
             pools::SharedQuota& descriptors, const HttpUpstream::Limits& limits,
             const policy::Settings& settings, std::function<void(std::string)> log);
@@ -80,8 +80,9 @@
 
 class Pools final : public HttpRouting {
  public:
-  // `discovered` is the engine of the hosts from discovery, for pools that name it as their source; it must
-  // outlive us. `calls`: under way in all. Throws BadConfig.
+  // `discovered` is the engine for the endpoints from discovery, for pools that name it as their source; it
+  // must outlive this object. `calls`, `bytes`: bounds on calls in flight and their bodies, over all pools.
+  // Throws BadConfig.
   Pools(boost::asio::io_context& io, std::shared_ptr<const route::Router> router, Engine& discovered,
         const HttpUpstream::Limits& limits, const policy::Settings& settings, std::uint64_t calls,
         std::uint64_t bytes, const std::function<void(std::string)>& log);
@@ -93,7 +94,7 @@
 
   bool mayConfigure(const policy::Settings& settings) const;
   void configure(const policy::Settings& settings);
-  void answerWithin(policy::Duration left);      // in a stop, as Engine has it
+  void answerWithin(policy::Duration left);      // graceful shutdown: see Engine::limitTimeRemaining
   void endCallsBeyond(policy::Duration toKill);  // the same
   void stop();
   std::size_t connections() const;
@@ -101,7 +102,7 @@
 
  private:
   std::shared_ptr<const route::Router> router_;
-  std::uint64_t callsMost_;       // under way in all; as at the start
+  std::uint64_t callsMost_;       // bound on calls in flight over all pools; fixed at the start
   std::vector<Engine*> engines_;  // by pool
   std::map<std::string, std::size_t, std::less<>> indexOf_;
   pools::SharedQuota descriptors_, calls_, bytes_;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -36,7 +36,7 @@
   return *it;
 }
 
-// A number above 0, where there is one.
+// Throws BadConfig unless the member is absent or a number above 0.
 void requirePositive(const json& object, const char* name) {
   const auto it = object.find(name);
   if (it == object.end()) return;
@@ -63,7 +63,8 @@
   if (effect == "retryable") c.idempotency = policy::Idempotency::safe;
   else if (effect == "dedup") {
     c.idempotency = policy::Idempotency::keyed;
-    // Danger: hosts that drop repeats for no time at all drop none, and the promise would be an empty one.
+    // With a dedup window of zero, endpoints drop no repeats: a retry of a keyed request would run a second
+    // time.
     if (c.dedupWindow <= Duration{})
       throw BadConfig("windowNs: class '" + c.name + "' has its repeats dropped, so it needs one above 0");
   } else if (effect != "fragile") throw BadConfig("effect: unknown '" + effect + "'");
@@ -101,8 +102,8 @@
   read(ceilings, "maxAttempts", s.maxAttempts);
   read(ceilings, "idleCloseNs", s.idleTimeout);
   read(ceilings, "maxRetryAfterNs", s.maxRetryAfter);
-  // A connection carries one request at a time on sockets, whatever the simulator's setting says: with more
-  // the module would take a busy connection for a free one.
+  // On sockets a connection carries one request at a time, whatever the simulator's setting says. With a
+  // larger number the load balancer would count a busy connection as a free one.
   s.streamsPerConnection = 1;
   const json& rules = part(settings, "rules");
   read(rules, "askWithinNs", s.maxPollInterval);
@@ -218,7 +219,7 @@
     } catch (const std::invalid_argument& bad) {
       throw BadConfig(std::string("known: ") + bad.what());
     }
-  try {  // the module judges its own settings
+  try {  // the load balancer validates its own settings
     policy::LoadBalancer probe(config.module, policy::Timestamp{});
   } catch (const std::invalid_argument& bad) {
     throw BadConfig(bad.what());
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,4 +1,5 @@
-// What the gateway is told, at its start and by SIGHUP: GW_* variables and the JSON file, as typed settings.
+// The gateway's configuration as typed settings, from GW_* variables and the JSON file; read at the start and
+// on SIGHUP.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -23,31 +24,31 @@
   using std::runtime_error::runtime_error;
 };
 
-// The keys of a file's objects, as paths with '/' between them, in order, and of its classes those that all
-// of them have. Without what may come and go: the known hosts and the seed.
+// The sorted keys of a file's objects, as paths separated by '/'; of its classes, the keys that all of them
+// have. Optional parts, the known endpoints and the seed, are left out.
 using ConfigShape = std::vector<std::string>;
 
 struct Config {
   std::string name;
   tcp::endpoint listen, discovery;
-  std::optional<tcp::endpoint> mgmt;  // the operators' door; absent: none
-  int acceptFd = -1;                  // of the clients' listener, if it was inherited
+  std::optional<tcp::endpoint> mgmt;  // admin server; absent: none
+  int acceptFd = -1;                  // descriptor of the clients' listener, if inherited; below 0: none
   std::size_t sockets = 1024;         // file descriptors that the process may hold
-  std::size_t memoryMb = 192;         // beyond it the process is killed
-  policy::Duration connectTimeout{};  // for a new connection to a host
-  policy::Settings module;            // for the decisions
-  std::optional<EndpointList> known;  // hosts as last had; may be old
+  std::size_t memoryMb = 192;         // beyond it the platform kills the process
+  policy::Duration connectTimeout{};  // for a new connection to an endpoint
+  policy::Settings module;            // of the load balancer
+  std::optional<EndpointList> known;  // last known endpoints; may be stale
   ConfigShape shape;                  // of the file
 };
 
 using Environment = std::function<const char*(const char*)>;  // as getenv
 
-// At a start the variables go before the file's entries. A running process keeps the variables that it was
-// started with, so when the file is read again, what stands in it is the newer word.
+// At a start, environment variables override the file. A running process keeps the variables it was started
+// with, so when the file is read again it is newer and overrides them.
 enum class Reading { atStart, again };
 
-// Throws BadConfig that names a key of the file in force which the next one lacks: it would fall back to a
-// default that nobody wrote.
+// Throws BadConfig, with the key, if the file in force has a key that the next one lacks: that setting would
+// silently fall back to its default.
 void requireShape(const ConfigShape& inForce, const ConfigShape& next);
 
 // Both throw BadConfig with one line that says what is wrong.
--- a/src/config/routes_file.cpp
+++ b/src/config/routes_file.cpp
@@ -1,4 +1,4 @@
-// Routes from a file.
+// Reads and parses a routes file, within kRoutesFileMost.
 #include "config/routes_file.hpp"
 
 #include <fstream>
--- a/src/config/routes_file.hpp
+++ b/src/config/routes_file.hpp
@@ -1,4 +1,4 @@
-// Routes from a file.
+// Reads a routes file (JSON, docs/routes.schema.json).
 #pragma once
 
 #include <cstddef>
--- a/src/http/framing.cpp
+++ b/src/http/framing.cpp
@@ -67,7 +67,7 @@
 
 bool HeadScanner::takeField(std::string_view line) {
   const std::size_t colon = line.find(':');
-  // No space is allowed in a name, so a folded line has none either.
+  // No space is allowed in a name, so a folded line is rejected too.
   if (colon == std::string_view::npos || !token(line.substr(0, colon))) return false;
   ++fields_;
   const std::string_view name = line.substr(0, colon);
--- a/src/http/framing.hpp
+++ b/src/http/framing.hpp
@@ -1,5 +1,6 @@
-// Strict reading of a message's head, before the parser sees it. Where two readers could differ on where a
-// message ends, what one takes for a body is a request to the other; so any doubt makes the head bad.
+// Strict check of a message's head, before it is parsed. If two readers could disagree on where a message
+// ends, a client could hide a second request in a body (request smuggling); so any ambiguous head is
+// rejected.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +16,7 @@
 
   explicit HeadScanner(Kind kind) : kind_(kind) {}
 
-  // `received` is all that has come since the message's first byte; goes on where the last call stopped.
+  // `received`: all bytes since the message's first one. Continues where the last call stopped.
   State scan(std::string_view received);
   std::size_t fields() const { return fields_; }
 
--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 for clients: makes calls of their requests and answers of the replies.
+// HTTP/1.1 frontend: turns client requests into calls of the engine, and its replies into HTTP responses.
 #include "http/frontend.hpp"
 
 #include <algorithm>
@@ -31,8 +31,8 @@
   return error == std::errc{} && end == text.data() + text.size();
 }
 
-// Makes the path canonical, in the message itself: what names the class is what the host is sent. False for
-// one that two readers could take for different paths.
+// Replaces the message's path by its canonical form, so that the class is chosen by the path that the
+// endpoint gets. False for a path that two readers could interpret differently.
 bool makeCanonical(HttpRequest& message) {
   const std::string_view target(message.target().data(), message.target().size());
   if (route::isCanonical(target)) return true;
@@ -48,7 +48,7 @@
   return route::firstPart(std::string_view(target.data(), target.size()).substr(0, target.find('?')));
 }
 
-// RFC 9112, 3.2: a request of HTTP/1.1 says its host once; nobody's may say two.
+// RFC 9112, 3.2: an HTTP/1.1 request has exactly one Host field; an older one has at most one.
 bool hostIsGood(const HttpRequest& message) {
   const std::size_t hosts = message.count(http::field::host);
   if (hosts == 0) return message.version() < 11;
@@ -64,7 +64,8 @@
 
 std::string_view view(string_view text) { return {text.data(), text.size()}; }
 
-// Danger: what a client sent may be part of it, and a line break would end the field.
+// The text may contain what the client sent. A line break in it would end the field, and the rest would
+// become a header of its own (response splitting), so control characters are removed.
 std::string lineOf(std::string text) {
   std::erase_if(text, [](char c) { return static_cast<unsigned char>(c) < ' ' || c == 0x7f; });
   return text;
@@ -131,11 +132,11 @@
 
 void HttpFrontend::take(ClientRequest& request, Call call, Engine& engine, HttpRouting::Hold hold) {
   call.acceptsStreaming = true;
-  // Of one that waited behind others nothing may be left.
+  // A pipelined request may have used up its time while it waited.
   const Duration spent = (Clock::now() - request.came) + kAnswerMargin;
   call.attributes.timeRemaining = std::max(call.attributes.timeRemaining - spent, Duration{});
   call.message.operation = engine.classes().byIndex()[call.attributes.classIndex].name;
-  // The id is known before the reply may come, which takes it out again.
+  // Entered before accept(), which may call onReply() at once; that removes the entry.
   Open& open = open_[request.exchange];
   open.engine = &engine;
   open.hold = std::move(hold);
@@ -224,11 +225,12 @@
   if (message.count("X-Class") && message["X-Class"] != string_view(c.name)) return http::status::bad_request;
   call.externalId = message["X-Request-Id"].to_string();
   if (call.externalId.empty()) return http::status::bad_request;
-  // Danger: said twice, a host may heed the other one than we do.
+  // Of a field that is sent twice, an endpoint may use the other value than the gateway: the request would
+  // run under another id, class, deadline or key than the one it was admitted by. So it is rejected.
   for (const char* field : {"X-Request-Id", "X-Class", "X-Deadline-Ms", "Idempotency-Key"})
     if (message.count(field) > 1) return http::status::bad_request;
-  // Danger: hosts take the method for the class's promise. A keyed request with no key is dropped by nobody
-  // when it is repeated, so it may not pass for one.
+  // Endpoints derive from the method whether a request is safe, so it must agree with the class. A keyed
+  // request without a key could not be deduplicated: a retry would run it twice. Both are rejected.
   const bool get = message.method() == http::verb::get;
   if (!get && message.method() != http::verb::post) return http::status::method_not_allowed;
   if (get != (c.idempotency == Idempotency::safe)) return http::status::method_not_allowed;
--- a/src/http/frontend.hpp
+++ b/src/http/frontend.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 for clients: makes calls of their requests and answers of the replies.
+// HTTP/1.1 frontend: turns client requests into calls of the engine, and its replies into HTTP responses.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,9 +19,8 @@
 
 class HttpFrontend final : public ReplySink {
  public:
-  // Listens at once; throws boost::system::system_error. `engine` must outlive it. `up` tells
-  // whether GET /up is answered 200. With `routing`, which must outlive it too, requests go by routes;
-  // otherwise all go to `engine`.
+  // Listens at once; throws boost::system::system_error. `up`: whether the response to GET /up is 200. With
+  // `routing`, requests are routed; otherwise all go to `engine`. Both must outlive this object.
   HttpFrontend(boost::asio::io_context& io, const Listen& listen, HttpServer::Limits limits,
                const std::vector<policy::TenantSettings>& tenants, Engine& engine, std::function<bool()> up,
                HttpRouting* routing = nullptr);
@@ -30,7 +29,7 @@
 
   HttpServer& server() { return server_; }
   const HttpServer& server() const { return server_; }
-  void setTenants(const std::vector<policy::TenantSettings>& tenants);  // by whose index calls go from now on
+  void setTenants(const std::vector<policy::TenantSettings>& tenants);  // for new calls
   void onReply(std::uint64_t ticket, Reply reply) override;
 
  private:
@@ -44,7 +43,8 @@
   void route(ClientRequest request);
   void routed(ClientRequest request, const route::Decision& decision);
   void take(ClientRequest& request, Call call, Engine& engine, HttpRouting::Hold hold);
-  // What the module is to know of a request of the class that its path names; `ok`, or the status to answer.
+  // Fills in the call's attributes from the request, whose path names its class. Returns `ok`, or the status
+  // of the response that rejects it.
   boost::beast::http::status describe(const HttpRequest& message, std::string_view className,
                                       const Engine& engine, Call& call) const;
   Open over(std::unordered_map<ExchangeId, Open>::iterator at);
@@ -55,7 +55,7 @@
   std::unordered_map<std::string, std::uint32_t> tenantOf_;
   HttpRouting* routing_;                       // null: none
   std::unordered_map<ExchangeId, Open> open_;  // at most one for each connection
-  HttpServer server_;                          // last: it may hand over requests from here on
+  HttpServer server_;                          // last: it may hand over requests at once
 };
 
 }  // namespace cairnjunction
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -1,4 +1,4 @@
-// Messages of HTTP/1.1 as text, from and to the engine's calls and answers.
+// Converts the engine's calls and replies to and from HTTP/1.1 messages.
 #include "http/message.hpp"
 
 #include <algorithm>
@@ -18,8 +18,8 @@
 namespace http = boost::beast::http;
 using boost::beast::string_view;
 
-constexpr std::size_t kCopied = 16 << 10;  // a body up to here goes with its head in one piece
-constexpr std::size_t kHeadGuess = 256;    // of a head beside its fields: saves moving the text as it grows
+constexpr std::size_t kCopied = 16 << 10;  // bytes: a body up to here is sent in one buffer with its head
+constexpr std::size_t kHeadGuess = 256;    // bytes of a head beside its fields, reserved
 
 std::string_view view(string_view text) { return {text.data(), text.size()}; }
 
@@ -33,7 +33,7 @@
     case http::field::transfer_encoding:
     case http::field::upgrade:
     case http::field::expect:
-    case http::field::content_length: return true;  // written anew, from the body
+    case http::field::content_length: return true;  // derived from the body instead
     default: return false;
   }
 }
@@ -112,8 +112,8 @@
 std::string wireText(const Call& call, const boost::asio::ip::tcp::endpoint& host, policy::Duration limit,
                      std::string_view& body) {
   const Message& m = call.message;
-  // A call that came by another protocol has no verb: what may be repeated at will is a GET, and takes what
-  // it was given along in the query, since the content of a GET means nothing (RFC 9110, 9.3.1).
+  // A call from another protocol has no HTTP method. A safe one becomes a GET, with its params in the query,
+  // since the content of a GET has no meaning (RFC 9110, 9.3.1).
   const std::string_view verb = !m.verb.empty() ? std::string_view(m.verb) : m.safe ? "GET" : "POST";
   const bool get = verb == "GET";
   const bool inQuery = get && m.format == Format::json && !m.body.empty();
--- a/src/http/routing.hpp
+++ b/src/http/routing.hpp
@@ -1,4 +1,4 @@
-// What the HTTP front needs of the program to go by routes: the router, and what stands behind its pools.
+// What the HTTP frontend needs for routing: the router, the engines of its pools, and admission to them.
 #pragma once
 
 #include <chrono>
@@ -15,7 +15,7 @@
 
 class HttpRouting {
  public:
-  // What an admitted call holds until it is over.
+  // What an admitted call reserves until it ends.
   struct Hold {
     std::size_t pool = 0;
     std::uint64_t bytes = 0;
@@ -24,8 +24,8 @@
 
   virtual const route::Router& router() const = 0;
   virtual Engine* engineOf(std::string_view pool) = 0;  // null: there is none
-  // Counts a call of so many bytes against the bounds of its pool and its route: 0, with `hold` set, or the
-  // status to turn it down with.
+  // Admits a call of `bytes` within the bounds of its pool and route: returns 0 and sets `hold`, or the
+  // status that rejects it.
   virtual int admit(const route::Decision& decision, std::uint64_t bytes, Hold& hold) = 0;
   virtual void over(const Hold& hold) = 0;
 
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -15,14 +15,14 @@
 using tcp = asio::ip::tcp;
 using Clock = std::chrono::steady_clock;
 
-constexpr auto kSweep = std::chrono::milliseconds(100);       // slow and idle connections are looked for
-constexpr auto kLinger = std::chrono::milliseconds(500);      // for a client to close after the last answer,
-constexpr auto kAcceptAgain = std::chrono::milliseconds(20);  // when there was no room or no descriptor left
-constexpr std::size_t kBacklogMost = 4096;                    // as long as a listener's queue is by default
-constexpr std::size_t kAcceptAtOnce = 32;                     // then those that are connected have a turn
-constexpr auto kSettle = std::chrono::milliseconds(50);       // a usual client has sent its request by then
-constexpr auto kHalf = std::chrono::milliseconds(2100);       // a slow client has sent its head by then
-constexpr std::size_t kLookAt = 8;                            // sessions of a queue that are asked for room
+constexpr auto kSweep = std::chrono::milliseconds(100);       // interval of sweep()
+constexpr auto kLinger = std::chrono::milliseconds(500);      // lingering close: time for the client to close
+constexpr auto kAcceptAgain = std::chrono::milliseconds(20);  // retry after no room or no descriptor
+constexpr std::size_t kBacklogMost = 4096;                    // length of a listener's backlog by default
+constexpr std::size_t kAcceptAtOnce = 32;                     // accepted in one turn of the event loop
+constexpr auto kSettle = std::chrono::milliseconds(50);       // most clients have sent a request within it
+constexpr auto kHalf = std::chrono::milliseconds(2100);       // slow clients have sent their head within it
+constexpr std::size_t kLookAt = 8;                            // sessions of a queue that makeRoom looks at
 
 tcp::acceptor openAcceptor(asio::io_context& io, const Listen& listen) {
   if (listen.inherited < 0) return tcp::acceptor(io, listen.endpoint, true);
@@ -73,7 +73,8 @@
   acceptor_.async_wait(tcp::acceptor::wait_read, lifetime_.guard([this](error_code ec) {
     if (ec || !acceptor_.is_open()) return;
     if (takeWaiting(kAcceptAtOnce)) return accept();
-    // Danger: with no descriptor left the listener stays readable, and the loop would spin.
+    // With no descriptor or no room left, accepting fails but the listener stays readable: waiting for it
+    // would return at once and the event loop would spin. So the next attempt waits for kAcceptAgain.
     again_.expires_after(kAcceptAgain);
     again_.async_wait(lifetime_.guard([this](error_code waitError) {
       if (!waitError && acceptor_.is_open()) accept();
@@ -81,8 +82,9 @@
   }));
 }
 
-// Takes what waits; false if there was no room for more. Danger: at the limit, room may be made only for
-// a connection that is there: an idle client is not sent away for nobody. So there may be one over it.
+// Accepts up to `most` waiting connections; false if there is no room for more. At the limit an idle
+// connection is closed only after another was accepted: closed before, it would be lost for nothing if no
+// connection waits. So there may be one connection above the limit.
 bool HttpServer::takeWaiting(std::size_t most) {
   for (std::size_t i = 0; i < most; ++i) {
     if (open_ > limits_.connections && !makeRoom()) return false;
@@ -99,8 +101,9 @@
   return true;
 }
 
-// Danger: what waits to be accepted may hold requests already; a closed listener would reset them. So all of
-// it is taken, past the limit too: there are no others to come, and descriptors bound it.
+// Connections in the listener's backlog may carry requests already, and closing the listener would reset
+// them. So all are accepted, also above the limit: no more can follow, and the descriptors bound their
+// number.
 void HttpServer::takeAll() {
   for (std::size_t i = 0; i < kBacklogMost; ++i) {
     error_code ec;
@@ -122,10 +125,11 @@
   fresh.back()->start(std::prev(fresh.end()));
 }
 
-// First those that were answered for the last time, then those that connected and say nothing, then those
-// between two requests, and last those whose first request is slow to come: they would lose it. Danger:
-// clients that connect by hundreds and say nothing would drive out all the usual ones; with so many of them,
-// new ones wait until the silent ones have had their time.
+// Closes one connection, in this order: one in its lingering close, one that has sent nothing since it
+// connected, an idle keep-alive connection, and last one with a partial request, which is lost. Hundreds of
+// clients that connect and send nothing would drive out the connections of all others. So when more than half
+// of the limit has sent nothing yet, no idle keep-alive connection is closed, and new clients wait until
+// those that sent nothing are kSettle old.
 bool HttpServer::makeRoom() {
   const auto now = Clock::now();
   if (closeOneOf(State::lingering, now - kSettle) || closeOneOf(State::fresh, now - kSettle)) return true;
@@ -135,18 +139,19 @@
          closeOneOf(State::begun, now - kHalf, true);
 }
 
-// Danger: whoever is before the clients lets only so many connections through, and what finds no room there
-// is turned away without our seeing anything: clients that ask once and keep their connection stand in the
-// way of all the others. So room is made before it is needed, by the connection that was not used for the
-// longest time. It guards as well against clients that forget to close. It could do harm to many clients that
-// each ask seldom: they connect anew, and one that asks in this moment has to ask once more.
+// A proxy in front of the gateway passes only a limited number of connections and refuses the rest, which the
+// gateway does not see. Clients that keep a connection open after one request would use up that number, and
+// others could not connect. So room is made early: when a new client sends its first request and more than
+// `kept` connections have sent one, the longest idle keep-alive connection is closed. The cost: many clients
+// that rarely send a request connect again, and one that sends a request at that moment has to repeat it.
 void HttpServer::keepRoom() {
   const std::size_t asked = queue(State::idle).size() + queue(State::begun).size() +
                             queue(State::waiting).size() + queue(State::writing).size();
   if (asked > limits_.kept) closeOneOf(State::idle, Clock::now());
 }
 
-// The first of a queue's oldest that is silent, or also one with half a request.
+// Closes the oldest session of a queue, among kLookAt, that has sent nothing; with `half` also one with a
+// partial request. False if there is none.
 bool HttpServer::closeOneOf(State state, Clock::time_point before, bool half) {
   std::size_t looked = 0;
   for (const auto& session : queue(state)) {
@@ -165,14 +170,15 @@
     asio::post(io_, lifetime_.guard([this] { toldEmpty(); }));
 }
 
-// Once: whoever is told may destroy us, or have us told again by what it closes.
+// Calls onEmpty at most once: the callback may destroy this object or close sessions, which would call it
+// again.
 void HttpServer::toldEmpty() {
   if (const auto told = std::exchange(onEmpty, nullptr)) told();
 }
 
 void HttpServer::lastAnswers() {
   last_ = true;
-  if (shared_) stopListening();  // what comes from now on is for those who hold it beside us
+  if (shared_) stopListening();  // new connections go to the other processes that have the socket
 }
 
 void HttpServer::stopListening() {
@@ -200,12 +206,13 @@
       {{State::fresh, limits_.slow},
        {State::begun, limits_.slow},
        {State::idle, limits_.idle},
-       {State::writing, 2 * limits_.slow},  // a client that doesn't read
+       {State::writing, 2 * limits_.slow},  // the client does not read its response
        {State::lingering, kLinger}}};
   for (const auto& [state, bound] : bounds)
     while (!queue(state).empty() && now - queue(state).front()->since() > bound) {
       const auto session = queue(state).front();
-      // Danger: the last byte may have come in this moment, and then an answer is owed.
+      // The last byte of the request may have arrived just now. Closing would lose a complete request, so
+      // what has arrived is read before the timeout is checked again.
       if (session->unread()) session->readable();
       if (session->state() == state && now - session->since() > bound) session->close();
     }
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 connections of clients: accepts, parses, answers, and notices that a client left.
+// HTTP/1.1 connections of clients: accepts them, parses requests, writes responses, and detects disconnects.
 #pragma once
 
 #include <array>
@@ -18,41 +18,41 @@
 
 namespace cairnjunction {
 
-using ExchangeId = std::uint64_t;  // one request of a client with its answer; never used again
+using ExchangeId = std::uint64_t;  // a request and its response; never reused
 
 struct ClientRequest {
   ExchangeId exchange = 0;
   HttpRequest message;
-  std::chrono::steady_clock::time_point came;  // its last byte, from which its client's time counts
-  boost::asio::ip::address client;  // whose connection it is; unspecified where that is not asked for
+  std::chrono::steady_clock::time_point came;  // last byte's arrival; the client timeout starts here
+  boost::asio::ip::address client;             // its address; unspecified unless tellClients() was called
 };
 
-// Where to listen: an address, or a listening socket that was inherited and that others hold too, so what
-// waits to be accepted is not lost when this process closes it.
+// Where to listen: an address, or an inherited listening socket that other processes have too, so that its
+// backlog is not lost when this process closes its descriptor.
 struct Listen {
   boost::asio::ip::tcp::endpoint endpoint;
-  int inherited = -1;  // its descriptor, owned from then on; below 0: none
+  int inherited = -1;  // its descriptor, owned by the server; below 0: none
 };
 
 class HttpServer {
  public:
   struct Limits {
     std::size_t connections = 640;
-    std::size_t kept = 640;              // that have asked something; past it the longest idle is closed
-    std::size_t bodyBytes = 16 << 20;    // held of the requests under way, all together
+    std::size_t kept = 640;              // that have sent a request; above it the longest idle one is closed
+    std::size_t bodyBytes = 16 << 20;    // of all requests in flight together
     std::uint64_t bodyMost = kBodyMost;  // bytes, of one
-    // A head must be whole so long after its first byte, the first byte be there so long after connecting,
-    // and a body never stand still for so long: a client that says nothing or half a thing is owed an end.
+    // Timeout for the first byte after connecting, for the complete head after its first byte, and between
+    // two pieces of a body. A client that misses one is disconnected.
     std::chrono::milliseconds slow{2500};
     std::chrono::milliseconds idle{15000};  // between requests
-    std::size_t leastPace = 16 << 10;       // bytes a second, of a body that is slow to come
-    // Behind each 4 MiB of what is sent behind a request that waits and is not kept. At some 10 MiB that the
-    // system holds of a connection its client's leaving is seen within 0.15 s.
+    std::size_t leastPace = 16 << 10;  // bytes a second, least mean rate of a body once `slow` has passed
+    // Read throttling: pause after each 4 MiB that a client sends, and that are dropped, while its request is
+    // in flight. With some 10 MiB in the kernel's buffers a disconnect is seen within 0.15 s.
     std::chrono::milliseconds floodPause{50};
   };
   struct Callbacks {
-    std::function<void(ClientRequest)> request;  // to be answered by answer(), now or later
-    std::function<void(ExchangeId)> gone;        // its client left; no answer is wanted
+    std::function<void(ClientRequest)> request;  // the response is given by answer(), now or later
+    std::function<void(ExchangeId)> gone;        // its client disconnected; no response is needed
   };
 
   // Listens at once. Throws boost::system::system_error.
@@ -64,18 +64,18 @@
   boost::asio::ip::tcp::endpoint listening() const { return acceptor_.local_endpoint(); }
   void setLimits(const Limits& limits) { limits_ = limits; }
   void answer(ExchangeId exchange, HttpAnswer answer);
-  void drop(ExchangeId exchange);              // closes its connection without a word
-  void tellClients() { tellClients_ = true; }  // from now on requests come with ClientRequest::client
-  void lastAnswers();                          // from now on every answer closes its connection
-  void stopListening();  // takes what waits, then closes the listener; clients that are there stay
-  void stopAccepting();  // that, and closes connections that are idle, or become so
+  void drop(ExchangeId exchange);              // closes its connection without a response
+  void tellClients() { tellClients_ = true; }  // from now on ClientRequest::client is set
+  void lastAnswers();                          // from now on each response closes its connection
+  void stopListening();  // accepts the backlog, then closes the listener; connections stay
+  void stopAccepting();  // stopListening(), and closes connections that are or become idle
   std::size_t connections() const { return open_; }
 
   std::function<void()> onEmpty;  // after stopAccepting, once: the last connection is closed
 
  private:
   class Session;
-  // In each state sessions wait in order of their coming: the front is the first to be overdue.
+  // Each state has a queue of its sessions, oldest first: the first one times out first.
   enum class State { fresh, idle, begun, waiting, writing, lingering, closed };
   using Queue = std::list<std::shared_ptr<Session>>;
 
@@ -93,7 +93,7 @@
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  const bool shared_;  // the listening socket outlives our descriptor of it
+  const bool shared_;  // other processes have the listening socket too
   Limits limits_;
   Callbacks callbacks_;
   boost::asio::steady_timer sweeper_, again_;
@@ -102,7 +102,7 @@
   std::unordered_map<ExchangeId, std::shared_ptr<Session>> waiting_;
   ExchangeId lastExchange_ = 0;
   bool last_ = false, closing_ = false, tellClients_ = false;
-  CallbackGuard lifetime_;  // of what the event loop is still to call
+  CallbackGuard lifetime_;  // guards callbacks still queued in the event loop
 };
 
 }  // namespace cairnjunction
--- a/src/http/session.cpp
+++ b/src/http/session.cpp
@@ -15,16 +15,17 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr std::size_t kChunk = 4096;                // read at a time,
-constexpr std::size_t kLargeChunk = 64 << 10;       // and of a body that is on its way
-constexpr std::size_t kReadMost = 2 * kLargeChunk;  // not parsed yet
-constexpr std::size_t kDiscardMost = 256 << 10;     // read out behind the last answer
-// What a client sends ahead of its answer is read, or its leaving behind it would not be seen: so much is
-// kept for its turn, within the bound on bodies; one that sends more is answered for the last time, and the
-// rest is read and dropped, so much of it between two pauses (Limits::floodPause).
+constexpr std::size_t kChunk = 4096;                // bytes read at a time
+constexpr std::size_t kLargeChunk = 64 << 10;       // the same within a body
+constexpr std::size_t kReadMost = 2 * kLargeChunk;  // bytes read and not parsed
+constexpr std::size_t kDiscardMost = 256 << 10;     // read and dropped in a lingering close
+// Pipelined requests are read while a response is pending, since a disconnect is seen only behind them.
+// kAheadMost bytes are kept, within the bound on bodies. A client that sends more gets its last response; the
+// rest is read and dropped, kAheadDropMost bytes between two pauses (Limits::floodPause).
 constexpr std::size_t kAheadMost = 64 << 10;
 constexpr std::size_t kAheadDropMost = 4 << 20;
-// When it came is kept to this, and for so many pieces; what comes beyond them counts as come with the last.
+// Arrival times of pipelined bytes are kept at this resolution, for so many pieces; further bytes count as
+// having arrived with the last piece.
 constexpr auto kSameMoment = std::chrono::milliseconds(10);
 constexpr std::size_t kArrivalsMost = 64;
 
@@ -48,7 +49,8 @@
   server_->queue(state_).erase(place_);
   state_ = State::closed;
   error_code ignored;
-  // Danger: where the end of the connection is the end of the answer, one that was cut must end otherwise.
+  // Where the end of the connection ends the response body, a normal close would make a truncated response
+  // look complete. So the connection is reset instead.
   if (rest_ && framing_ == Framing::close) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
   socket_.close(ignored);
   if (const auto left = std::exchange(rest_, nullptr)) left->leave();
@@ -60,7 +62,7 @@
   return socket_.available(ec) > 0 && !ec;
 }
 
-// The client's end or reset is all that is left to read.
+// Whether only the client's disconnect (end or reset) is left to read.
 bool HttpServer::Session::endIsNext() {
   char byte;
   error_code ec;
@@ -76,7 +78,7 @@
   if (state == State::writing) release();
 }
 
-// Armed also while an answer is awaited: this is how a client's leaving is noticed.
+// Armed also while a response is pending: this is how a disconnect is detected.
 void HttpServer::Session::arm() {
   if (armed_) return;
   armed_ = true;
@@ -87,8 +89,8 @@
   });
 }
 
-// The socket is only waited for, and read when there is something: so an idle connection holds no buffer, and
-// what has come but was not read is seen before one is closed.
+// Waits for readiness and reads only then, so that an idle keep-alive connection holds no buffer, and bytes
+// that have arrived are seen before it is closed.
 void HttpServer::Session::readable() {
   if (state_ == State::writing || state_ == State::closed) return;
   error_code ec;
@@ -144,7 +146,9 @@
     parsed_ += parsed;
     if (parser_->is_header_done() && !bodyBegun_) {
       bodyBegun_ = true;
-      // Danger: the parser takes what stands behind the last chunk for fields of the head.
+      // The parser adds trailer fields, which follow the last chunk, to those of the head: a client could set
+      // fields there that the checks of the head have not seen. So the head is copied before the body is
+      // read, and restored in taken().
       if (parser_->chunked()) head_ = parser_->get().base();
       if (!parser_->is_done() && buffer_.size() == 0) goOn();
     }
@@ -157,21 +161,24 @@
   charged_ += held - heldBefore;
   server_->bodies_ += held - heldBefore;
   if (server_->bodies_ > server_->limits_.bodyBytes) return reject(http::status::service_unavailable);
-  // Danger: the parser bounds head and body, not the head of a chunk; the buffer throws when it is full, and
-  // that would end the process.
+  // The parser limits head and body, but not the line that begins a chunk. An endless one would fill the
+  // buffer, which then throws, and the exception would end the process. So the request is rejected while the
+  // buffer still has room for one more read.
   if (!parser_->is_done() && buffer_.size() + kLargeChunk > buffer_.max_size())
     return reject(http::status::payload_too_large);
   if (!parser_->is_done()) {
-    if (bodyBegun_) become(State::begun);  // it goes on: the time for standing still begins anew
+    if (bodyBegun_) become(State::begun);  // progress: restarts the timeout
     return tooSlow(held) ? reject(http::status::request_timeout) : arm();
   }
   taken();
 }
 
-// Its last byte is here: from now on an answer is owed.
+// The request is complete: hands it over, and from now on the client waits for a response.
 void HttpServer::Session::taken() {
-  // Danger: its client may have left before it was read, as when the connection waited to be accepted, or
-  // while the answer ahead of it was written. To be sent on it would take until the end is read.
+  // The client may have disconnected before its request was read, while the connection waited in the backlog
+  // or while the previous response was written. The request would be sent to an endpoint before the
+  // disconnect is read, and run for nobody. So it is not started if only the end of the connection is left to
+  // read.
   if (endIsNext()) return close();
   keepAlive_ = parser_->get().keep_alive();
   old_ = parser_->get().version() < 11;
@@ -188,7 +195,8 @@
   server_->callbacks_.request(std::move(request));
 }
 
-// Danger: a body of a byte a second would be held for hours.
+// Each byte that arrives renews the timeout, so a client that sends one byte a second could hold a connection
+// and its body for hours. So after `slow`, the mean rate must be at least `leastPace`.
 bool HttpServer::Session::tooSlow(std::size_t held) const {
   const auto passed = Clock::now() - begunAt_;
   if (passed < server_->limits_.slow) return false;
@@ -196,12 +204,12 @@
   return static_cast<double>(held) < seconds * static_cast<double>(server_->limits_.leastPace);
 }
 
-// A client may wait for this word before it sends the body (RFC 9110, 10.1.1).
+// A client may wait for this interim response before it sends the body (RFC 9110, 10.1.1).
 void HttpServer::Session::goOn() {
   if (!boost::beast::iequals(parser_->get()[http::field::expect], "100-continue")) return;
   if (parser_->get().version() < 11) return;
   constexpr std::string_view word = "HTTP/1.1 100 Continue\r\n\r\n";
-  error_code ignored;  // of a client that takes not even these few bytes the next read tells
+  error_code ignored;  // a broken connection shows at the next read
   socket_.write_some(asio::buffer(word), ignored);
 }
 
@@ -213,15 +221,14 @@
   answer(std::move(refusal));
 }
 
-// Asked for once.
+// The client's address, read from the socket once.
 const asio::ip::address& HttpServer::Session::client() {
   error_code ec;
   if (!client_) client_ = socket_.remote_endpoint(ec).address();
   return *client_;
 }
 
-// --- While its answer is awaited
-// ----------------------------------------------------------------------------
+// --- While its response is pending ------------------------------------------------------------------------
 
 void HttpServer::Session::ahead() {
   if (!overrun_) {
@@ -237,8 +244,9 @@
   else pause();
 }
 
-// Danger: a flood would keep the event loop busy. But its sender's leaving comes behind all that the system
-// still holds of it, so that has to be read.
+// Read throttling. A client that sends without end while its request is in flight would keep the event loop
+// busy. Reading can't stop altogether: a disconnect is seen only behind all bytes that the kernel still
+// holds. So reading goes on after a pause.
 void HttpServer::Session::pause() {
   droppedAhead_ = 0;
   pause_.emplace(socket_.get_executor(), server_->limits_.floodPause);
@@ -260,8 +268,8 @@
   else arrivals_.push_back({end, now});
 }
 
-// When the request that was just parsed had come whole: a client's time counts from then, also where it
-// waited behind others. Never later than it was.
+// When the request just parsed was complete: the client timeout counts from then, also for a pipelined
+// request that waited. May be earlier than the true time, never later.
 std::chrono::steady_clock::time_point HttpServer::Session::cameAt() {
   std::erase_if(arrivals_, [this](const Arrival& a) { return a.end < parsed_; });
   return arrivals_.empty() ? Clock::now() : arrivals_.front().at;
@@ -274,19 +282,21 @@
   server_->callbacks_.gone(exchange);
 }
 
-// --- Its answer -------------------------------------------------------------------------------------------
+// --- Its response -----------------------------------------------------------------------------------------
 
 void HttpServer::Session::answer(HttpAnswer answer) {
   leaveAhead();
   become(State::writing);
   exchange_ = 0;
-  // A client in error is left: the next it sends may be anything, and the same again costs as much.
+  // After a client error that the gateway found itself, the connection is closed: what follows may not be a
+  // request, and each error costs as much as a good request.
   const bool error = http::to_status_class(answer.status) == http::status_class::client_error;
-  // Danger: in a stop, requests that came before the last answer were taken, and an end would lose them.
+  // In a graceful shutdown pipelined requests that have already arrived would be lost if the connection
+  // closed after this response. So it stays open until none is left.
   const bool last = server_->last_ && silent();
   const bool keep = keepAlive_ && !overrun_ && !last && (answer.fromHost || !error);
   rest_ = std::move(answer.rest);
-  // An old client knows no chunks: for it the end of the connection is the end of the answer.
+  // HTTP/1.0 has no chunked coding: there the end of the connection ends the response.
   framing_ = !rest_ || answer.length ? Framing::length : old_ ? Framing::close : Framing::chunks;
   keepAfter_ = keep && framing_ != Framing::close;
   response_ = wireText(answer, keepAfter_, framing_);
@@ -309,14 +319,14 @@
                     });
 }
 
-// Writes on what has come of the answer's rest, or ends it.
+// Writes what has arrived of a streamed response body, or ends the response.
 void HttpServer::Session::pump() {
   if (writing_ || state_ != State::writing) return;
   if (rest_) {
     const std::string bytes = rest_->take();
     if (!bytes.empty()) {
       response_ = framing_ == Framing::chunks ? chunkText(bytes) : bytes;
-      become(State::writing);  // it goes on: the client's time to take it begins anew
+      become(State::writing);  // progress: restarts the client's timeout for reading
       return write();
     }
     if (rest_->state() == BodyStream::State::flowing) {
@@ -338,16 +348,16 @@
   renew();
   become(State::idle);
   if (buffer_.size() > 0) return consume();
-  // Danger: idle connections were closed already when this answer was still on its way, and nobody would
-  // close this one before the process is killed.
+  // A graceful shutdown closed the idle keep-alive connections while this response was still being written.
+  // Nothing would close this one later, and the shutdown would last until the process is killed.
   if (server_->closing_ && silent()) return close();
   buffer_.shrink_to_fit();
   arm();
 }
 
-// Danger: a connection that is closed with unread bytes in it is reset, and the reset may overtake the
-// answer. So our side ends first, and the client's is read out, within bounds. What it says is not heard any
-// more.
+// Lingering close. Closing a socket with unread bytes sends a reset, which may reach the client before the
+// response and discard it. So only our sending side is shut down, and what the client still sends is read and
+// dropped, up to kDiscardMost bytes and for kLinger.
 void HttpServer::Session::linger() {
   become(State::lingering);
   error_code ignored;
--- a/src/http/session.hpp
+++ b/src/http/session.hpp
@@ -1,5 +1,5 @@
-// One connection of a client: reads its requests one after the other, strictly and within bounds, and writes
-// the answers. Its states, and what each event does in them: docs/design/http-session.md.
+// One client connection: reads requests one after the other, strictly and within bounds, and writes
+// responses. Its states, and what each event does in them: docs/design/http-session.md.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -30,14 +30,14 @@
   Session(HttpServer& server, boost::asio::ip::tcp::socket socket);
 
   void start(Queue::iterator place);  // its place in the queue of State::fresh
-  void answer(HttpAnswer answer);     // of the request that was handed over
-  void close();                       // at once, whatever is under way; the server is told
-  void readable();                    // there may be something to read
+  void answer(HttpAnswer answer);     // to the request that was handed over
+  void close();                       // at once, in any state; notifies the server
+  void readable();                    // reads what has arrived, if anything
 
-  // Nothing of a request is here or has come to the socket.
+  // No byte of a request is in the buffer or at the socket.
   bool silent() const { return buffer_.size() == 0 && !unread(); }
-  bool unread() const;                                // something has come to the socket
-  Clock::time_point since() const { return since_; }  // it is in its state
+  bool unread() const;                                // bytes wait at the socket
+  Clock::time_point since() const { return since_; }  // when its state began
   State state() const { return state_; }
 
  private:
@@ -54,7 +54,7 @@
   void reject(boost::beast::http::status status);
   const boost::asio::ip::address& client();
 
-  // While its answer is awaited.
+  // While a response is pending.
   void ahead();
   void holdAhead();
   Clock::time_point cameAt();
@@ -62,7 +62,7 @@
   void leaveAhead() { server_->bodies_ -= std::exchange(ahead_, 0); }
   void gone();
 
-  // Writing an answer, and what comes after it.
+  // Writing a response, and what follows.
   void write();
   void pump();
   void next();
@@ -86,14 +86,14 @@
     Clock::time_point at;
   };
   std::uint64_t parsed_ = 0;                        // bytes of the connection
-  std::vector<Arrival> arrivals_;                   // of what is held before its turn
-  std::size_t ahead_ = 0, droppedAhead_ = 0;        // sent before its turn: held, and read without being kept
-  bool overrun_ = false;                            // of that there was too much
-  std::optional<boost::asio::steady_timer> pause_;  // until more of it is read
+  std::vector<Arrival> arrivals_;                   // of the pipelined bytes that are kept
+  std::size_t ahead_ = 0, droppedAhead_ = 0;        // pipelined bytes: kept, and dropped
+  bool overrun_ = false;                            // the client sent more than is kept
+  std::optional<boost::asio::steady_timer> pause_;  // read throttling
   bool begun_ = false, headSeen_ = false, bodyBegun_ = false, armed_ = false, keepAlive_ = false;
   bool first_ = true, old_ = false, writing_ = false, keepAfter_ = false;
-  boost::beast::http::request_header<> head_;  // of a body in chunks, without what stood behind them
-  std::shared_ptr<BodyStream> rest_;           // of the answer
+  boost::beast::http::request_header<> head_;  // of a chunked request, without trailer fields
+  std::shared_ptr<BodyStream> rest_;           // not yet written part of the response body; null: none
   Framing framing_ = Framing::length;
 };
 
--- a/src/import/nginx/directives.hpp
+++ b/src/import/nginx/directives.hpp
@@ -1,5 +1,5 @@
-// The table of directives: what becomes of each by itself, before its arguments are looked at. The operators'
-// page has the same table, and a test keeps them the same.
+// The table of directives: how each is treated, before its arguments are looked at. The operators' page has
+// the same table, and a test keeps them the same.
 #pragma once
 
 #include <span>
@@ -10,11 +10,11 @@
 namespace cairnjunction::import_nginx {
 
 enum class Treatment {
-  lowered,   // by code of its own, which judges its arguments
-  harmless,  // left out: decides neither where a request goes nor whether it may
-  guard,     // left out: decides whether a request may pass, so the locations it holds for answer 501
-  handler,   // left out: serves a location by other means, so that location answers 501
-  process    // left out: of the process of nginx itself
+  lowered,   // converted by code of its own, which checks its arguments
+  harmless,  // left out: affects neither routing nor access
+  guard,     // left out: controls access, so its locations answer 501
+  handler,   // left out: serves a location in another way, so that one answers 501
+  process    // left out: concerns the nginx process itself
 };
 
 struct DirectiveRow {
--- a/src/import/nginx/location.cpp
+++ b/src/import/nginx/location.cpp
@@ -85,7 +85,7 @@
   into.push_back(std::move(location));
 }
 
-// What the level has of its own or by inheritance, and whether it can be served at all.
+// Applies the level's own and inherited settings, and decides whether the location can be served.
 void Lowering::finish(const Directive& block, const Inherited& scope, const std::string& handler,
                       route::Location& location) {
   std::string refused;
@@ -173,7 +173,7 @@
   why.empty() ? carried(d) : difference(d, why);
 }
 
-// A host that is no upstream: a pool of that one server.
+// A host that is not an upstream becomes a pool with that one server.
 std::string Lowering::implicitPool(const Directive& d, const std::string& authority) {
   const std::size_t colon = authority.rfind(':');
   const bool port = colon != std::string::npos && authority.find(']', colon) == std::string::npos;
--- a/src/import/nginx/lowering.cpp
+++ b/src/import/nginx/lowering.cpp
@@ -1,4 +1,4 @@
-// From directives to Routes: main, http and server, and what stands at every level.
+// Converts directives to Routes: main, http and server, and directives allowed at every level.
 #include "import/nginx/lowering.hpp"
 
 #include <algorithm>
@@ -189,9 +189,9 @@
   }
 }
 
-// Judges what the level says for itself and all in it.
+// Processes the directives that the level has for itself and its nested levels.
 void Lowering::inherit(const std::vector<Directive>& directives, Inherited& scope, Level level) {
-  // Lists are replaced by a level that has any of its own.
+  // A list is replaced, not extended, by a level that has entries of its own.
   const auto any = [&](std::string_view name) {
     return std::any_of(directives.begin(), directives.end(),
                        [&](const Directive& d) { return d.name == name; });
@@ -223,7 +223,7 @@
   if (any("allow") || any("deny")) access(directives, scope);
 }
 
-// A guard's value by which it guards nothing.
+// Whether a guard directive has its default value, with which it restricts nothing.
 bool Lowering::asByDefault(const Directive& d) {
   if (d.arguments.size() != 1) return false;
   const std::string& value = d.arguments[0].text;
@@ -232,7 +232,7 @@
   return value == "off";
 }
 
-// The first rule that an address meets holds; so a first one for all decides alone.
+// The first matching rule applies, so a first rule for all addresses decides alone.
 void Lowering::access(const std::vector<Directive>& directives, Inherited& scope) {
   static const std::string kGuard = "allow and deny";
   scope.denied = false;
@@ -397,7 +397,7 @@
       notHere(d);
   }
   if (!poison.empty()) {
-    // What follows from it for any request is not known: the server says so.
+    // What the steps do to a request is not known, so the whole server answers 501.
     server.steps = {};
     route::Step answer;
     answer.kind = route::Step::Kind::answer;
--- a/src/import/nginx/lowering.hpp
+++ b/src/import/nginx/lowering.hpp
@@ -1,4 +1,5 @@
-// The walk from directives to Routes. Each function judges every directive that it is given, in the report.
+// Converts directives to Routes. Each function records in the report what it did with every directive it
+// gets.
 #pragma once
 
 #include <chrono>
@@ -49,7 +50,7 @@
   void serverOf(const Directive& block, const Inherited& outer);
   void listen(const Directive& d, route::Server& server);
   void serverName(const Directive& d, route::Server& server);
-  // Judges what stands at every level. False: it is not such a one.
+  // Processes a directive that is allowed at every level. False: it is not one.
   bool shared(const Directive& d, Inherited& scope);
   void inherit(const std::vector<Directive>& directives, Inherited& scope, Level level);
   void access(const std::vector<Directive>& directives, Inherited& scope);
@@ -74,7 +75,8 @@
 
   // --- rewriting.cpp
   static bool rewriting(const Directive& d);
-  // `poison` is set to why, if it can't be said here: then nothing that follows is known either.
+  // `poison` is set to the reason if a step can't be converted: then no step after it can be relied on
+  // either.
   void step(const Directive& d, std::vector<route::Step>& into, std::string& poison);
   void condition(const Directive& d, std::vector<route::Step>& into, std::string& poison);
   bool parseCondition(const Directive& d, route::Condition& condition, std::string& why);
--- a/src/import/nginx/report.cpp
+++ b/src/import/nginx/report.cpp
@@ -1,4 +1,4 @@
-// What became of each directive of a file.
+// Outcomes of a file's directives, as text and JSON.
 #include "import/nginx/report.hpp"
 
 #include <algorithm>
--- a/src/import/nginx/report.hpp
+++ b/src/import/nginx/report.hpp
@@ -1,4 +1,4 @@
-// What became of each directive of a file: the promise that nothing is dropped or guessed.
+// The outcome for each directive of a file: none is dropped or guessed silently.
 #pragma once
 
 #include <cstddef>
@@ -28,8 +28,8 @@
     std::string reason;  // empty only where carried
   };
 
-  // Every directive that was read is told first, and judged once or more; the worst judgement holds, reasons
-  // are joined. One that nobody judged stays left out, and says so.
+  // Each directive is registered when read, then gets one or more verdicts: the worst holds, and reasons are
+  // joined. A directive without a verdict is reported as left out.
   void expect(const Directive& directive);
   void judge(const Directive& directive, Fate fate, const std::string& reason = {});
 
--- a/src/import/nginx/rewriting.cpp
+++ b/src/import/nginx/rewriting.cpp
@@ -71,7 +71,7 @@
       else if (flag == "permanent") step.flag = Step::Flag::permanent;
       else throw BadSyntax(d.arguments[2].at, "'" + flag + "' is no flag of rewrite");
     }
-    // What is neither a path nor a URL makes no request line.
+    // Text that is neither a path nor a URL makes no valid request line.
     if (step.text.empty() || (step.text[0] != '/' && step.text[0] != '$' && !begins(step.text, "http://") &&
                               !begins(step.text, "https://")))
       why = "the replacement is no path";
@@ -86,8 +86,8 @@
   into.push_back(std::move(step));
 }
 
-// `if` is safe where all in it are steps: they run in order, as the documents say. Anything else in it makes
-// a location of its own out of it, with rules that the documents only hint at.
+// An `if` can be converted if it holds only steps, which run in order as documented. Any other directive
+// makes nginx treat it as a location of its own, by rules that are barely documented.
 void Lowering::condition(const Directive& d, std::vector<route::Step>& into, std::string& poison) {
   if (!d.block) throw BadSyntax(d.at, "'if' wants a block");
   route::Step step;
@@ -111,7 +111,8 @@
              "within 'if' only rewrite, return, set and break are safe; what it decides for answers 501");
   }
   if (handler) {
-    // A guess in either direction could pass a guard. Only what the condition holds for is refused.
+    // A guess in either direction could let a request pass an access check. Only requests that the condition
+    // applies to are rejected.
     route::Step answer;
     answer.kind = route::Step::Kind::answer;
     answer.status = 501;
--- a/src/import/nginx/syntax.hpp
+++ b/src/import/nginx/syntax.hpp
@@ -89,7 +89,7 @@
   std::vector<Directive> inner;
 };
 
-// How files are had: the importer itself opens none.
+// Access to files; the importer itself opens none.
 class Files {
  public:
   virtual std::optional<std::string> read(const std::string& path) = 0;  // nothing: there is none
--- a/src/import/nginx/upstream.cpp
+++ b/src/import/nginx/upstream.cpp
@@ -66,7 +66,8 @@
     }
   }
   if (!served) throw BadSyntax(block.at, "no server is in the upstream '" + pool.name + "'");
-  // Danger: one that is left out must not leave a pool that looks whole; it has fewer servers, or none.
+  // A server that was left out is missing here: the pool may be smaller than the file suggests, or empty, and
+  // reject what the missing ones would have served. The report lists each, so it does not go unnoticed.
   routes_.pools.push_back(std::move(pool));
 }
 
--- a/src/jsonrpc/frame.cpp
+++ b/src/jsonrpc/frame.cpp
@@ -1,4 +1,4 @@
-// Frames of JSON-RPC over TCP.
+// Framing of JSON-RPC over TCP: reader for both forms, and writer.
 #include "jsonrpc/frame.hpp"
 
 #include <algorithm>
@@ -60,7 +60,8 @@
     return std::all_of(line.begin(), line.begin() + static_cast<std::ptrdiff_t>(colon),
                        [](char c) { return letter(c) || c == '-'; });
   const std::string_view value = trimmed(line.substr(colon + 1));
-  // Danger: a length said twice may be read as either one. A sign is no digit: negative ones end here.
+  // Of two Content-Length headers readers may use either, and would then disagree on where the next frame
+  // begins. So a second one is an error, and so is a negative length.
   if (haveLength_ || value.empty()) return false;
   const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), length_);
   haveLength_ = error == std::errc{} && end == value.data() + value.size() && value.front() != '-';
@@ -94,8 +95,9 @@
   } else {
     const std::size_t start = out.size();
     out.append(text);
-    // Danger: a JSON text may be written over several lines, and each would be a frame. In one that was
-    // checked line breaks are white space only: in strings they are escaped.
+    // A JSON text may span several lines, and the peer would read each line as a frame. In a valid text raw
+    // line breaks are white space only, since strings escape them, so replacing them by spaces changes
+    // nothing.
     std::replace_if(
         out.begin() + static_cast<std::ptrdiff_t>(start), out.end(),
         [](char c) { return c == '\n' || c == '\r'; }, ' ');
--- a/src/jsonrpc/frame.hpp
+++ b/src/jsonrpc/frame.hpp
@@ -1,6 +1,6 @@
-// Frames of JSON-RPC over TCP: where one text ends and the next begins. No I/O.
+// Framing of JSON-RPC over TCP: finds where a text begins and ends. No I/O.
 //
-// Two forms, told by a connection's first byte: lines, each a JSON text ended by LF (with or without CR
+// Two forms, recognized by a connection's first byte: lines, each a JSON text ended by LF (with or without CR
 // before it), and `Content-Length: N` headers with an empty line behind them, as in the base protocol of the
 // Language Server Protocol 3.17.
 #pragma once
@@ -13,23 +13,23 @@
 
 enum class Form { unknown, lines, headers };
 
-// Of the headers of a frame: two short lines. More is nobody's use.
+// Bytes of a frame's headers; two short lines are usual.
 inline constexpr std::size_t kHeadMost = 1024;
 
 class FrameReader {
  public:
   enum class State {
-    more,  // a frame is not whole, or there is none
+    more,  // no complete frame yet
     frame,
-    bad,       // where it ends can't be told; error() says why
-    tooLarge,  // announced or grown past the bound
+    bad,       // the frame's end can't be determined; see error()
+    tooLarge,  // announced or actual size is above the bound
   };
 
-  // `most`: bytes of one frame's text. `form`: unknown for a peer that speaks first.
+  // `most`: bound on a frame's text, in bytes. `form`: unknown if the peer sends first, and so chooses it.
   explicit FrameReader(std::size_t most, Form form = Form::unknown) : most_(most), form_(form) {}
 
-  // `input`: all bytes that came and were not yet taken. With State::frame, `text` is the frame's text within
-  // it (empty lines are passed over) and taken() bytes are done with; also with State::more some may be.
+  // `input`: all received bytes that are not consumed yet. With State::frame, `text` is the frame's text
+  // within it (empty lines are skipped) and taken() bytes are consumed; with State::more some may be, too.
   State next(std::string_view input, std::string_view& text);
   std::size_t taken() const { return taken_; }
   Form form() const { return form_; }
@@ -46,7 +46,7 @@
 
   std::size_t most_;
   Form form_;
-  std::size_t taken_ = 0, seen_ = 0;  // seen_: of the untaken input, known to hold no end of a line
+  std::size_t taken_ = 0, seen_ = 0;  // seen_: bytes of the input already searched for a line's end
   std::size_t length_ = 0;
   bool haveLength_ = false;
   const char* error_ = "";
--- a/src/jsonrpc/frontend.cpp
+++ b/src/jsonrpc/frontend.cpp
@@ -1,4 +1,4 @@
-// JSON-RPC for clients over TCP.
+// JSON-RPC frontend: makes calls of client requests, keeps ids, batches and sessions.
 #include "jsonrpc/frontend.hpp"
 
 #include <algorithm>
@@ -15,12 +15,13 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr auto kExpire = std::chrono::seconds(1);
-// A key goes into a header of HTTP workers: visible characters only, and not more of them than a header
-// bears.
+// Longest idempotency key. It is sent to HTTP workers as a header field, so it is short and has visible
+// characters only.
 constexpr std::size_t kKeyMost = 256;
-// A session's name gives its answers to whoever has it, so it must not be guessed.
+// Any client that knows a session's name can read its results, so names must be long enough not to be
+// guessed.
 constexpr std::size_t kNameLeast = 16, kNameMost = 128;
-// What an open call takes here, in the engine, in the module and at the upstream beside its params: bytes.
+// Bytes that an open call takes beside its params: here, in the engine, the load balancer and the upstream.
 constexpr std::size_t kCallCost = 1024;
 
 bool visible(std::string_view text) {
@@ -78,11 +79,11 @@
     std::string reply;
     appendReply(2, "null", {true, errorText(request.error, request.message)}, reply);
     server_.write(id, reply);
-    // A client that goes on like this is left: each of its texts costs as much as a good one.
+    // The connection is closed after badMost such texts: each costs as much as a valid one.
     if (++peers_[id].bad >= settings_.limits.badMost) server_.closeAfterReplies(id);
     return;
   }
-  // A batch has the earliest deadline among its entries: its replies leave together.
+  // A batch's responses are sent together, so all its calls have the earliest deadline among them.
   Duration left = Duration::max();
   for (std::size_t i = 0; i < request.entries.size(); ++i)
     if (request.entries[i].kind == Entry::Kind::call) left = std::min(left, timeFor(i, request.entries[i]));
@@ -98,7 +99,7 @@
   complete(group);
 }
 
-// How long the client waits for this entry; the largest there is if nothing is run for it.
+// How long the client waits for this entry; Duration::max() for an entry that runs nothing.
 Duration Frontend::timeFor(std::size_t i, const Entry& entry) const {
   if (entry.kind == Entry::Kind::invalid) return Duration::max();
   const auto known = methods_.find(entry.method);
@@ -148,8 +149,8 @@
   start(id, group, place, entry, *known->second, left);
 }
 
-// Danger: two replies with one id can't be told apart by the client. So the id has the first one's, and the
-// second entry is answered by an error that has none. Null ids are nobody's.
+// A client can't tell two responses with the same id apart. So only the first call with an id that is in use
+// gets a response with it; a second one gets an error with a null id. Null ids may repeat.
 bool Frontend::firstOfItsId(const Peer& peer, Group& group, const Entry& entry) const {
   if (entry.kind != Entry::Kind::call || entry.key.empty()) return true;
   if (peer.keys.count(entry.key)) return false;
@@ -173,7 +174,7 @@
   if (!method.keyAt.empty()) {
     const auto key = parser_.param(place, method.keyAt);
     const bool good = key && !key->empty() && key->size() <= kKeyMost && visible(*key);
-    // Danger: a keyed call with no key is dropped by nobody when it is repeated.
+    // A keyed call without a key can't be deduplicated by workers: a retry would run it twice.
     if (!good && (key || method.effect == Idempotency::keyed))
       return turnAway(kInvalidParams,
                       "Invalid params: no key, or not 1 to 256 visible characters, at " + method.keyAt);
@@ -210,12 +211,12 @@
     peer.slots.insert(ticket);
   }
   server_.holds(id, peer.open);
-  // A client of another front may have thought of the same name.
+  // A call of the other frontend may have the same id already; then this one is rejected.
   if (engine_.accept(std::move(out), *this, ticket, &slot.call) != Engine::AcceptResult::accepted)
     onReply(ticket, {ReplyStatus::rejected, {}, {}});
 }
 
-// The call of this id runs since before its connection dropped: its reply goes to this one.
+// The call with this id still runs since before its connection broke: its response goes to this connection.
 void Frontend::join(ConnectionId id, const GroupPtr& group, std::size_t place, const Entry& entry,
                     std::uint64_t ticket) {
   const auto it = slots_.find(ticket);
@@ -249,11 +250,12 @@
                 "The session is not held: what its calls came to is not known", "{\"retry\":\"unknown\"}");
   if (opened == SessionTable::Opened::full)
     return fail(group, place, entry, kRefused, "Refused: too many sessions", "{\"retry\":\"harmless\"}");
-  // Danger: a connection that is dead and does not know it yet would take the replies. The newest has them.
+  // The session's previous connection may be dead without our having noticed, and responses written to it
+  // would be lost. So the newest connection takes over the session, and the previous one is closed.
   if (const auto before = attached_.find(session); before != attached_.end()) {
     const ConnectionId old = before->second;
     if (const auto known = peers_.find(old); known != peers_.end()) {
-      known->second.session = 0;  // the session goes over, it is not detached
+      known->second.session = 0;  // the session moves to the new connection and is not detached
       drop(old, known->second);
     }
     server_.close(old);
@@ -278,7 +280,7 @@
   slots_.erase(it);
   server_.release(slot.bytes);
   leave(ticket, slot);
-  if (!slot.group && slot.session == 0) return;  // nobody is to be told
+  if (!slot.group && slot.session == 0) return;  // a notification: no response
   const bool neverRan = reply.status == ReplyStatus::rejected;
   Result result = resultOf(std::move(reply), slot.safe, checker_);
   if (slot.group) deliver(slot.group, slot.place, slot.version, slot.id, result);
@@ -287,7 +289,7 @@
   else table_.answered(now(), slot.session, slot.key, std::move(result));
 }
 
-// Its connection waits for it no longer.
+// Removes the call from its connection's open calls.
 void Frontend::leave(std::uint64_t ticket, const Slot& slot) {
   const auto known = peers_.find(slot.connection);
   if (known == peers_.end()) return;
@@ -295,14 +297,14 @@
   if (!slot.key.empty()) peer.keys.erase(slot.key);
   peer.slots.erase(ticket);
   --peer.open;
-  if (!slot.group) server_.holds(slot.connection, peer.open);  // else with its reply
+  if (!slot.group) server_.holds(slot.connection, peer.open);  // otherwise when its response is written
 }
 
 void Frontend::fail(const GroupPtr& group, std::size_t place, const Entry& entry, int code,
                     std::string_view message, std::string_view data) {
-  if (entry.kind == Entry::Kind::notification) return;  // not answered, whatever becomes of it (4.1)
+  if (entry.kind == Entry::Kind::notification) return;  // never gets a response (4.1)
   ++group->pending;
-  // The id of an invalid request is null (5), also where one could be read: it may be another call's.
+  // The response to an invalid request has a null id (5), even if an id was read: it may be another call's.
   const std::string_view id = entry.kind == Entry::Kind::invalid ? std::string_view("null") : entry.id;
   deliver(group, place, entry.version, id, {true, errorText(code, message, data)});
 }
@@ -310,8 +312,8 @@
 void Frontend::deliver(const GroupPtr& group, std::size_t place, int version, std::string_view id,
                        const Result& result) {
   std::string& text = group->replies[place];
-  // Danger: a thousand answers that wait for the last of their batch may be large. What can't be held is
-  // told.
+  // The responses of a batch are held until the last is there, and may together exceed the memory bound. One
+  // that can't be held becomes an error response, so that the client learns of it.
   if (bytes() + result.json.size() > settings_.limits.bytes)
     appendReply(version, id,
                 {true, errorText(kFailed, "Failed: no room to hold the answer", "{\"retry\":\"unknown\"}")},
@@ -354,7 +356,8 @@
   if (const auto known = peers_.find(id); known != peers_.end()) drop(id, known->second);
 }
 
-// With no session the client has gone. In one its calls go on, and their answers are held for it.
+// Without a session the calls of a closed connection are cancelled. In a session they go on, and their
+// results are kept for the client.
 void Frontend::drop(ConnectionId id, Peer& peer) {
   Peer old = std::move(peer);
   peers_.erase(id);
--- a/src/jsonrpc/frontend.hpp
+++ b/src/jsonrpc/frontend.hpp
@@ -1,5 +1,5 @@
-// JSON-RPC 2.0 and 1.0 for clients over TCP: makes calls of what they send and replies of what comes back.
-// Ids, batches, notifications and named sessions are kept here; the rules on calls are the engine's.
+// JSON-RPC 2.0 and 1.0 frontend over TCP: turns requests into calls of the engine, and its replies into
+// responses. Handles ids, batches, notifications and named sessions; all decisions on calls are the engine's.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -24,14 +24,14 @@
 
 namespace cairnjunction::jsonrpc {
 
-// The methods of the gateway itself; the specification keeps the names that begin with `rpc.` for such.
+// The gateway's own method; the specification reserves names that begin with `rpc.` for extensions.
 inline constexpr std::string_view kSessionMethod = "rpc.session";
 
 class Frontend final : public ReplySink {
  public:
-  // Listens at once; throws boost::system::system_error. `settings` were resolved against the module's, and
-  // have a listener. `gateway`: a name that no other gateway before the same workers has, nor this one before
-  // a restart; the names of calls begin with it. All references must outlive the front.
+  // Listens at once; throws boost::system::system_error. `settings` must be resolved (resolve()) and have a
+  // listener. `gateway`: prefix of call ids, unique among all gateways that use the same workers and for each
+  // start of one. All references must outlive this object.
   Frontend(boost::asio::io_context& io, const Settings& settings, Engine& engine, std::string gateway);
   Frontend(const Frontend&) = delete;
   Frontend& operator=(const Frontend&) = delete;
@@ -45,33 +45,33 @@
   const SessionTable& sessions() const { return table_; }
 
  private:
-  // The replies to one text: they leave together when the last is there.
+  // The responses to one text; they are sent together once the last is complete.
   struct Group {
     ConnectionId connection = 0;
     bool batch = false;
-    std::size_t pending = 1;           // replies that are not there yet, and one for the reading of the text
-    std::vector<std::string> replies;  // by their place in the text; empty: none is owed
+    std::size_t pending = 1;           // responses not complete yet, plus one while the text is read
+    std::vector<std::string> replies;  // by position in the text; empty: no response
     std::size_t bytes = 0;
-    std::unordered_set<std::string> keys;  // of the entries that are answered by their id
+    std::unordered_set<std::string> keys;  // ids of the batch's calls, each used once
   };
   using GroupPtr = std::shared_ptr<Group>;
 
   struct Slot {      // a call that is open
-    GroupPtr group;  // none: a notification, or its connection dropped
+    GroupPtr group;  // null: a notification, or its connection closed
     ConnectionId connection = 0;
     std::size_t place = 0;
     int version = 2;
     std::string id, key;  // as written; as compared
     CallId call = 0;
     SessionTable::Id session = 0;  // 0: none
-    std::size_t bytes = 0;         // that it counts for
+    std::size_t bytes = 0;         // counted against FrontendLimits::bytes
     bool safe = false;
   };
-  struct Peer {                            // what is known of a connection
+  struct Peer {                            // state of a connection
     std::unordered_set<std::string> keys;  // of the open calls that have an id
     std::unordered_set<std::uint64_t> slots;
     SessionTable::Id session = 0;
-    std::size_t bad = 0, open = 0;  // texts in error; calls and notifications that are not over
+    std::size_t bad = 0, open = 0;  // invalid texts; calls and notifications in flight
   };
 
   void received(ConnectionId id, std::string_view text, std::chrono::steady_clock::time_point began);
@@ -101,7 +101,7 @@
   Engine& engine_;
   std::string gateway_;
   std::unordered_map<std::string_view, const MethodSettings*> methods_;
-  Parser parser_, checker_;  // of texts; of answers, while a text's views are in use
+  Parser parser_, checker_;  // of texts; of workers' responses, while a text's views are in use
   SessionTable table_;
   std::unordered_map<std::uint64_t, Slot> slots_;
   std::unordered_map<ConnectionId, Peer> peers_;
@@ -109,8 +109,8 @@
   std::uint64_t lastTicket_ = 0;
   boost::asio::steady_timer expirer_;
   std::chrono::steady_clock::time_point start_ = std::chrono::steady_clock::now();
-  Server server_;           // after the others: it may hand over texts from here on
-  CallbackGuard lifetime_;  // of what the event loop is still to call
+  Server server_;           // after the others: it may hand over texts at once
+  CallbackGuard lifetime_;  // guards callbacks still queued in the event loop
 };
 
 }  // namespace cairnjunction::jsonrpc
--- a/src/jsonrpc/parser.cpp
+++ b/src/jsonrpc/parser.cpp
@@ -1,5 +1,5 @@
-// Reading JSON-RPC from the text of a frame, by simdjson: its DOM validates the whole text, then On Demand
-// finds where in it `params` and the like stand, so that they go on byte by byte as they came.
+// Parses the text of a JSON-RPC frame with simdjson: its DOM validates the whole text, then On Demand locates
+// `params` and other members in it, so that they are forwarded byte for byte.
 #include "jsonrpc/parser.hpp"
 
 #include <simdjson.h>
@@ -17,7 +17,7 @@
 
 static_assert(kPadding >= simdjson::SIMDJSON_PADDING);
 
-constexpr double kExactMost = 9007199254740992.0;  // 2^53: up to here each integer is a double of its own
+constexpr double kExactMost = 9007199254740992.0;  // 2^53: up to here each integer is exactly one double
 
 std::string_view trimmed(std::string_view text) {
   while (!text.empty() &&
@@ -26,7 +26,7 @@
   return text;
 }
 
-// The text of a value that was validated before.
+// The raw text of a value that has been validated.
 std::string_view rawOf(ondemand::value value) {
   ondemand::json_type type{};
   if (value.type().get(type)) return {};
@@ -43,7 +43,7 @@
   return trimmed(raw);
 }
 
-// By value, not by spelling: 1 and 1.0 are the same id to a client, 1 and "1" are not.
+// Ids are compared by value: 1 and 1.0 are the same id, 1 and "1" are not.
 bool keyOf(const dom::element& id, std::string& key) {
   std::string_view text;
   if (!id.get_string().get(text)) {
@@ -110,7 +110,7 @@
     return !locator.iterate(text.data(), text.size(), text.size() + kPadding).get(document);
   }
 
-  // What the DOM tells of an entry.
+  // Reads an entry's kind, id and errors from the DOM.
   void describe(const dom::element& element, Entry& entry, dom::element& found) {
     entry.error = "not an object";
     dom::object object;
@@ -127,7 +127,8 @@
       else if (member == kId) id = field.value;
       else if (member == kParams) found = field.value;
     }
-    // Danger: of a member that comes twice one reader takes the first and another the last.
+    // Of a repeated member one parser uses the first value and another the last: a worker could run another
+    // method than the one the gateway admitted. So the entry is invalid.
     if (twice) return void(entry.error = "a member comes twice");
     if (seen & kId) {
       idNull = id.is_null();
@@ -154,7 +155,7 @@
     entry.kind = silent ? Entry::Kind::notification : Entry::Kind::call;
   }
 
-  // Where the parts of an entry stand in the text.
+  // Locates the parts of an entry in the text.
   static bool find(ondemand::value value, Entry& entry) {
     ondemand::json_type type{};
     if (value.type().get(type)) return false;
@@ -207,7 +208,7 @@
       for (const dom::element element : array) {
         if (++count > entriesMost) return fail(kInvalidRequest, "Invalid Request: too many entries");
         add(element);
-        // In a batch, which 1.0 has not, an entry without its version is nobody's.
+        // JSON-RPC 1.0 has no batches, so in one an entry without a version is invalid.
         Entry& entry = request.entries.back();
         if (entry.version == 1) {
           entry.version = 2;
@@ -252,7 +253,7 @@
       seen |= member;
       if (member == kId) answer.hasId = !field.value.get_uint64().get(answer.id);
       else if (member == kError) error = field.value;
-      // As 1.0 writes them, both are there and one is null.
+      // In JSON-RPC 1.0 both members are present and one is null.
       if ((member == kError || member == kResult) && field.value.is_null()) seen &= ~member;
     }
     if (twice) return;
--- a/src/jsonrpc/parser.hpp
+++ b/src/jsonrpc/parser.hpp
@@ -1,4 +1,4 @@
-// Reading JSON-RPC (2.0, and 1.0 calls) from the text of a frame. No I/O.
+// Parses the text of a JSON-RPC frame (2.0, and calls of 1.0). No I/O.
 //
 // Source: JSON-RPC 2.0 Specification, 2013-01-04; JSON-RPC 1.0 Specification, 2005.
 #pragma once
@@ -19,15 +19,15 @@
 inline constexpr int kMethodNotFound = -32601;
 inline constexpr int kInvalidParams = -32602;
 inline constexpr int kInternalError = -32603;
-inline constexpr int kRefused = -32001;    // the same again does no harm
-inline constexpr int kFailed = -32002;     // nothing is promised
-inline constexpr int kNoSession = -32003;  // the session that is to be resumed is not held
+inline constexpr int kRefused = -32001;    // rejected: a repeat is safe
+inline constexpr int kFailed = -32002;     // failed: the outcome is unknown
+inline constexpr int kNoSession = -32003;  // the session to resume is not kept any more
 inline constexpr int kServerFirst = -32099, kServerLast = -32000;
 inline constexpr int kReservedFirst = -32768, kReservedLast = -32000;
 
-// Nested deeper than this a text is refused, before it costs anybody a stack.
+// Deepest nesting; deeper texts are rejected, so that no recursive parser behind us runs out of stack.
 inline constexpr std::size_t kDepthMost = 128;
-// Bytes behind a frame's text that must be readable (they may hold anything).
+// Bytes behind a frame's text that must be readable, with any content (simdjson's padding).
 inline constexpr std::size_t kPadding = 64;
 
 // One entry of a frame. The views live until the next parse, and as long as the frame's text.
@@ -36,24 +36,24 @@
   Kind kind = Kind::invalid;
   int version = 2;          // of the protocol
   std::string_view id;      // as written; `null` where there is none
-  std::string key;          // by which ids are the same; empty: null
+  std::string key;          // normalized id, for comparison; empty: null
   std::string_view method;  // unescaped
   std::string_view params;  // as written: an object or an array; empty: none
   const char* error = "";   // Kind::invalid: what is wrong with it
 };
 
 struct Request {
-  int error = 0;  // for the whole frame, with id null; 0: none
+  int error = 0;  // error of the whole frame, reported with a null id; 0: none
   const char* message = "";
   bool batch = false;
   std::vector<Entry> entries;
 };
 
-// A reply of a worker.
+// A response of a worker.
 struct Answer {
-  bool readable = false;  // one reply object, with a result or an error and not both
+  bool readable = false;  // one response object, with either a result or an error
   std::uint64_t id = 0;
-  bool hasId = false;  // false: null, or no number of ours
+  bool hasId = false;  // false: null, or not a number that the gateway uses
   bool failed = false;
   std::string_view result;  // as written
   std::string_view error;   // as written, an object with a code
@@ -61,7 +61,7 @@
   bool notRun = false;  // error.data.not_run is true
 };
 
-// Not for several threads at once. Holds memory for the largest frame that it read: some 14 bytes a byte.
+// Not thread-safe. Keeps memory for the largest frame read, about 14 times its size.
 class Parser {
  public:
   // `most`: bytes of a text; longer ones are parse errors.
--- a/src/jsonrpc/reply.hpp
+++ b/src/jsonrpc/reply.hpp
@@ -13,12 +13,12 @@
 // The value of `error`. `data`: JSON, or empty.
 std::string errorText(int code, std::string_view message, std::string_view data = {});
 
-// What a reply of the engine comes to. `safe`: the call asks for no effect, so that repeating it is harmless
-// whatever came of the first. A worker's answer that is no JSON becomes a string; one that is no text either
-// can't be passed on and has failed.
+// The result or error for a reply of the engine. `safe`: the call has no side effect, so it may be repeated
+// whatever its outcome. A worker's response that is not JSON becomes a JSON string; one that is not UTF-8
+// text either can't be forwarded and counts as failed.
 Result resultOf(Reply reply, bool safe, Parser& parser);
 
-// A whole reply object. `id`: as the client wrote it, or null.
+// Appends a response object. `id`: as the client wrote it, or null.
 void appendReply(int version, std::string_view id, const Result& result, std::string& out);
 
 }  // namespace cairnjunction::jsonrpc
--- a/src/jsonrpc/server.cpp
+++ b/src/jsonrpc/server.cpp
@@ -1,4 +1,4 @@
-// Connections of JSON-RPC clients.
+// Connections of JSON-RPC clients: reading, backpressure, writing, timeouts, lingering close.
 #include "jsonrpc/server.hpp"
 
 #include <netinet/tcp.h>
@@ -20,16 +20,16 @@
 using boost::system::error_code;
 using Clock = std::chrono::steady_clock;
 
-constexpr std::size_t kChunk = 64 << 10;                      // read at a time, then others have a turn
-constexpr auto kSweep = std::chrono::milliseconds(100);       // late and idle connections are looked for
-constexpr auto kLinger = std::chrono::milliseconds(500);      // for a client to close after the last reply
-constexpr std::size_t kDiscardMost = 256 << 10;               // and so much of what it sends is read out
-constexpr auto kAcceptAgain = std::chrono::milliseconds(20);  // with no room or no descriptor left
-constexpr std::size_t kAcceptAtOnce = 32;                     // then those that are connected have a turn
-constexpr std::size_t kBacklogMost = 4096;                    // as long as a listener's queue is by default
-constexpr std::size_t kKeepBuffer = 4096;  // an empty buffer larger than this is given back
-// Of a client that has enough open so much is read on, or its leaving would not be seen; while half of what
-// may be held in all is free.
+constexpr std::size_t kChunk = 64 << 10;                  // bytes read at a time, before other connections
+constexpr auto kSweep = std::chrono::milliseconds(100);   // interval of sweep()
+constexpr auto kLinger = std::chrono::milliseconds(500);  // lingering close: time for the client to close
+constexpr std::size_t kDiscardMost = 256 << 10;           // lingering close: bytes read and dropped
+constexpr auto kAcceptAgain = std::chrono::milliseconds(20);  // retry after no room or no descriptor
+constexpr std::size_t kAcceptAtOnce = 32;                     // accepted in one turn of the event loop
+constexpr std::size_t kBacklogMost = 4096;                    // length of a listener's backlog by default
+constexpr std::size_t kKeepBuffer = 4096;                     // an empty buffer with more capacity is freed
+// Backpressure: a client at its limit of open calls or unread responses is still read, up to this many bytes,
+// since a disconnect is seen only behind them; but only while half of the memory bound is free.
 constexpr std::size_t kAheadMost = 128 << 10;
 
 }  // namespace
@@ -61,7 +61,7 @@
     server_->unflushed_.push_back(shared_from_this());
   }
 
-  // By non-blocking sends of our own: what a client does not take stays here, and is counted.
+  // Writes by non-blocking sends, so that what a client does not read stays in out_ and is counted.
   void flush() {
     unflushed_ = false;
     if (closed_ || waitingWrite_) return;
@@ -86,7 +86,7 @@
       mark_ -= std::min(mark_, sent_);
       sent_ = 0;
     }
-    // What is due by now must have left when the mark is next looked at.
+    // All bytes up to mark_ must be sent within `stalled`; then the next mark is set.
     if (place_ != Queue::stalled || sent_ >= mark_) {
       mark_ = out_.size();
       moveTo(Queue::stalled);
@@ -106,7 +106,7 @@
     if (last_) return finish();
     settle();
     if (!deferred_ && paused_ && !full()) {
-      // Not from within: whoever tells us is in the middle of something.
+      // Posted: the caller is in the middle of handling a call, and resuming could re-enter it.
       deferred_ = true;
       asio::post(server_->io_, [self = shared_from_this()] {
         self->deferred_ = false;
@@ -133,7 +133,7 @@
     socket_.close(ignored);
   }
 
-  // The connection ended, and not by the front's wish.
+  // Closes the connection for a reason other than a call of close(), and notifies the frontend.
   void drop() {
     if (closed_) return;
     const auto self = shared_from_this();
@@ -147,7 +147,7 @@
       case Queue::reading: return bad("a text that was not whole in time");
       case Queue::stalled: return drop();
       case Queue::idle:
-        if (!silent()) return moveTo(Queue::idle);  // bytes wait that the loop has not come to
+        if (!silent()) return moveTo(Queue::idle);  // bytes wait that have not been read yet
         return drop();
       case Queue::lingering: return drop();
     }
@@ -170,10 +170,10 @@
     if (place_) server_->list(*place_).erase(at_);
     place_.reset();
   }
-  // Where a connection waits follows from what it has.
+  // Moves the connection to the queue that fits its state.
   void settle() {
     if (lingering_ || closed_) return;
-    if (!out_.empty()) return;  // flush() says
+    if (!out_.empty()) return;  // flush() moves it
     if (!in_.empty() && !paused_) {
       if (place_ != Queue::reading || taken_) moveTo(Queue::reading);
       taken_ = false;
@@ -210,7 +210,7 @@
     }
     began_ = Clock::now();
     if (in_.empty()) {
-      // What is whole is read where it is; only the rest is kept.
+      // Complete frames are parsed in place; only the rest is copied to in_.
       const std::string_view rest = take({server_->scratch_.data(), n});
       if (!closed_ && !last_) keep(rest);
     } else {
@@ -222,7 +222,8 @@
     armRead();
   }
 
-  // Frames out of what came, till there is none or enough is open. What is left of it is given back.
+  // Hands over the frames of `input` until none is complete or backpressure sets in (full()). Returns the
+  // rest.
   std::string_view take(std::string_view input) {
     const auto self = shared_from_this();
     while (!closed_ && !last_) {
@@ -246,7 +247,8 @@
   }
 
   void takeKept() {
-    // Danger: a parser reads some bytes past the end of a text.
+    // simdjson reads up to kPadding bytes past the end of a text; without this reserve it would read outside
+    // the buffer.
     in_.reserve(in_.size() + kPadding);
     const std::size_t left = take(in_).size();
     if (closed_ || last_) return;
@@ -278,7 +280,7 @@
     if (!paused_ || closed_ || last_ || full()) return;
     paused_ = false;
     began_ = Clock::now();
-    textBegan_.reset();  // it waited for us
+    textBegan_.reset();  // it waited for the gateway: its time starts again
     if (!in_.empty()) takeKept();
     if (closed_ || last_) return;
     settle();
@@ -290,8 +292,9 @@
     server_->callbacks_.bad(id_, why);
   }
 
-  // Danger: a connection that is closed with unread bytes in it is reset, and the reset may overtake the
-  // reply. So our side ends first, and the client's is read out, within bounds.
+  // Lingering close. Closing a socket with unread bytes sends a reset, which may reach the client before the
+  // response and discard it. So only our sending side is shut down, and what the client still sends is read
+  // and dropped, up to kDiscardMost bytes and for kLinger.
   void finish() {
     if (!lingering_ && !closed_ && open_ == 0 && !unflushed_ && out_.empty()) linger();
   }
@@ -315,15 +318,15 @@
   Server* server_;
   tcp::socket socket_;
   FrameReader reader_;
-  std::string in_, out_;  // came and not taken; to be sent, of which `sent_` bytes are
+  std::string in_, out_;  // received, not consumed; to be sent, of which sent_ bytes are
   std::size_t sent_ = 0, mark_ = 0, open_ = 0, discarded_ = 0;
   std::optional<Queue> place_;
   List::iterator at_;
-  Clock::time_point since_, began_;             // of the place; of the last read
-  std::optional<Clock::time_point> textBegan_;  // first byte of a text that is not whole
+  Clock::time_point since_, began_;             // when it entered its queue; when of the last read
+  std::optional<Clock::time_point> textBegan_;  // arrival of an incomplete text's first byte
   bool reading_ = false, waitingWrite_ = false, unflushed_ = false, paused_ = false, deferred_ = false;
   bool last_ = false, lingering_ = false, closed_ = false;
-  bool taken_ = false;  // a text since the place was last told
+  bool taken_ = false;  // a text was handed over since settle()
 };
 
 Server::Server(asio::io_context& io, const tcp::endpoint& listen, const FrontendLimits& limits,
@@ -388,7 +391,8 @@
   acceptor_.async_wait(tcp::acceptor::wait_read, lifetime_.guard([this](error_code ec) {
     if (ec || !acceptor_.is_open()) return;
     if (takeWaiting(kAcceptAtOnce)) return accept();
-    // Danger: with no descriptor left the listener stays readable, and the loop would spin.
+    // With no descriptor or no room left, accepting fails but the listener stays readable: waiting for it
+    // would return at once and the event loop would spin. So the next attempt waits for kAcceptAgain.
     again_.expires_after(kAcceptAgain);
     again_.async_wait(lifetime_.guard([this](error_code waitError) {
       if (!waitError && acceptor_.is_open()) accept();
@@ -430,8 +434,9 @@
   return false;
 }
 
-// Danger: clients that send texts without end or take no replies could together hold any amount. Past the
-// bound the one that has kept its replies waiting for the longest goes first, then the slowest to send.
+// Clients that send endless texts or do not read their responses could together use any amount of memory.
+// Above the bound, connections are closed until it holds: first the one whose responses have waited longest,
+// then the one that has been sending an incomplete text for longest.
 void Server::keepWithin() {
   while (bytes_ > limits_.bytes) {
     List& from = !list(Queue::stalled).empty() ? list(Queue::stalled) : list(Queue::reading);
--- a/src/jsonrpc/server.hpp
+++ b/src/jsonrpc/server.hpp
@@ -1,5 +1,5 @@
-// Connections of JSON-RPC clients: accepts, frames what comes, writes replies, keeps the bounds. It knows
-// frames and not what stands in them.
+// Connections of JSON-RPC clients: accepts them, splits what arrives into frames, writes responses, keeps the
+// bounds. It does not interpret the frames' content.
 #pragma once
 
 #include <array>
@@ -28,12 +28,13 @@
 class Server {
  public:
   struct Callbacks {
-    // A text. kPadding bytes behind it may be read. Valid during the call only. `began`: its first byte.
+    // A frame's text, valid during the call; kPadding bytes behind it are readable. `began`: arrival of its
+    // first byte.
     std::function<void(ConnectionId, std::string_view text, std::chrono::steady_clock::time_point began)>
         frame;
-    // What came can't be framed, or is late: to be answered by a last reply.
+    // Invalid framing, or a text that is late: to be followed by a last response.
     std::function<void(ConnectionId, const char* why)> bad;
-    std::function<void(ConnectionId)> gone;  // the connection is closed, by whichever side
+    std::function<void(ConnectionId)> gone;  // the connection closed, except by close()
   };
 
   // Listens at once. Throws boost::system::system_error.
@@ -44,26 +45,27 @@
   Server& operator=(const Server&) = delete;
 
   boost::asio::ip::tcp::endpoint listening() const { return acceptor_.local_endpoint(); }
-  // One frame, if the connection is still there. Sent at the end of this turn of the event loop, with what
-  // else is written in it.
+  // Writes one frame, if the connection still exists. Sent at the end of this turn of the event loop,
+  // together with other frames.
   void write(ConnectionId id, std::string_view text);
-  void closeAfterReplies(ConnectionId id);  // nothing more is read
+  void closeAfterReplies(ConnectionId id);  // reads nothing more
   void close(ConnectionId id);              // at once; Callbacks::gone is not called
-  // `calls` of the connection are open now, and past the limit no more is read.
+  // Backpressure: the connection has `calls` open calls now; at the limit it is not read.
   void holds(ConnectionId id, std::size_t calls);
 
-  void stopAccepting();  // takes what waits, closes the listener, and each connection that has nothing open
+  void stopAccepting();           // accepts the backlog, closes the listener and idle connections
   std::function<void()> onEmpty;  // after stopAccepting: the last connection is closed
   std::size_t connections() const { return connections_.size(); }
-  // Held: texts not whole, replies not taken, and what the front adds. Past the limit connections are closed
-  // at the end of a turn of the loop, so it may be over it by what one turn reads from workers.
+  // Bytes held: incomplete texts, responses not read by clients, and what the frontend charges. Above the
+  // limit connections are closed at the end of a turn of the event loop, so it may be exceeded by what one
+  // turn reads from workers.
   std::size_t bytes() const { return bytes_; }
   void charge(std::size_t bytes) { bytes_ += bytes; }
   void release(std::size_t bytes) { bytes_ -= bytes; }
 
  private:
   class Connection;
-  enum class Queue { reading, stalled, idle, lingering };  // connections that wait, by what they wait for
+  enum class Queue { reading, stalled, idle, lingering };  // waiting connections, by what they wait for
   using List = std::list<Connection*>;
 
   void accept();
@@ -81,13 +83,13 @@
   Callbacks callbacks_;
   boost::asio::steady_timer sweeper_, again_;
   std::unordered_map<ConnectionId, std::shared_ptr<Connection>> connections_;
-  std::array<List, 4> lists_;  // each in order of coming: the front is the first to be overdue
-  std::vector<char> scratch_;  // read into by all: an idle connection holds no buffer
+  std::array<List, 4> lists_;  // oldest first: the first one times out first
+  std::vector<char> scratch_;  // read buffer shared by all: idle connections hold none
   std::vector<std::shared_ptr<Connection>> unflushed_;
   std::size_t bytes_ = 0;
   ConnectionId last_ = 0;
   bool flushing_ = false, stopping_ = false;
-  CallbackGuard lifetime_;  // of what the event loop is still to call
+  CallbackGuard lifetime_;  // guards callbacks still queued in the event loop
 };
 
 }  // namespace cairnjunction::jsonrpc
--- a/src/jsonrpc/session_table.cpp
+++ b/src/jsonrpc/session_table.cpp
@@ -1,4 +1,4 @@
-// Named sessions: what was answered.
+// Named sessions and their results, until they expire.
 #include "jsonrpc/session_table.hpp"
 
 #include <algorithm>
@@ -51,7 +51,8 @@
   }
   const auto it = sessions_.find(id);
   const std::size_t cost = kEntryCost + key.size();
-  // Danger: to make room by dropping an old answer would run its call again when it is repeated.
+  // If an old result were dropped to make room, a repeat of its call would run a second time. So a full table
+  // rejects the new call instead, which has not run.
   if (it == sessions_.end() || entries_ >= limits_.entries ||
       it->second.entries.size() >= limits_.entriesOfOne || bytes_ + cost > limits_.bytes)
     return {};
@@ -100,7 +101,7 @@
       else drop(session, due.key);
       continue;
     }
-    // Of several drops the last counts; one that was resumed since has none that is due.
+    // Only the last detach counts, and none if the session was resumed since.
     if (session.attached || session.touched + limits_.ttl > now) continue;
     while (!session.entries.empty()) drop(session, std::string(session.entries.begin()->first));
     byName_.erase(session.name);
--- a/src/jsonrpc/session_table.hpp
+++ b/src/jsonrpc/session_table.hpp
@@ -1,9 +1,9 @@
-// Named sessions: what was answered, so that a call that is repeated by its id after a dropped connection has
-// the answer of its first run and is never run again. Decides only: no I/O, no clock.
+// Results of named sessions: a call that is repeated with its id after a broken connection gets the result of
+// its first run and never runs again. Decides only: no I/O, no clock.
 //
-// A session is attached while a connection has it. Time to live: an answer is held for `ttl` after it was
-// given, and at least until `ttl` after the session was last attached or detached. A detached session is
-// forgotten `ttl` after its connection dropped, with all that it holds; resuming it then says so.
+// A session is attached while a connection uses it. A result is kept for `ttl` after it was set, and at least
+// until `ttl` after the session was last attached or detached. A detached session is removed with all its
+// results `ttl` after it was detached; resuming it then fails with Opened::notHeld.
 #pragma once
 
 #include <cstddef>
@@ -19,7 +19,7 @@
 
 namespace cairnjunction::jsonrpc {
 
-// What came of a call, as JSON: the value of `result`, or of `error`.
+// A call's result, as JSON: the value of `result`, or of `error`.
 struct Result {
   bool isError = false;
   std::string json;
@@ -33,19 +33,19 @@
   struct Limits {
     std::size_t sessions = 1024;
     std::size_t entries = 65536;      // over all sessions
-    std::size_t entriesOfOne = 8192;  // one client can't take the place of all others
-    std::size_t bytes = 8 << 20;      // of ids and answers, with kEntryCost for each entry
+    std::size_t entriesOfOne = 8192;  // of one session, so that it can't fill the table
+    std::size_t bytes = 8 << 20;      // of ids and results, plus kEntryCost for each entry
     policy::Duration ttl = std::chrono::seconds(60);
   };
-  static constexpr std::size_t kEntryCost = 160;  // bytes, of the containers
+  static constexpr std::size_t kEntryCost = 160;  // bytes of the containers for an entry
 
   enum class Opened { fresh, resumed, notHeld, full };
   enum class Begun {
-    first,      // to be run; the entry is held from now on
-    running,    // its first run is not over: `ticket` is that one's
-    answered,   // `answer` is the first run's
-    different,  // the id was used for something else
-    full        // no room to hold it, so it must not be run
+    first,      // run it; the entry is kept from now on
+    running,    // its first run, with `ticket`, is in flight
+    answered,   // `answer` is the result of the first run
+    different,  // the id was used for another request
+    full        // no room for its entry, so it must not run
   };
   struct Found {
     Begun begun = Begun::full;
@@ -55,16 +55,18 @@
 
   explicit SessionTable(const Limits& limits) : limits_(limits) {}
 
-  // Attaches a session by its name. `resume`: only one that is held. Whoever had it before has it no longer.
+  // Attaches a session by its name; with `resume` only an existing one. The caller closes a connection that
+  // had it before.
   Opened open(Time now, std::string_view name, bool resume, Id& id);
-  void detach(Time now, Id id);  // its connection dropped
+  void detach(Time now, Id id);  // its connection closed
 
-  // A call with id `key`. `print`: a hash of what it asks. With Begun::first, `ticket` is kept for it.
+  // Begins a call with id `key`. `print`: hash of its method and params. With Begun::first, `ticket` is
+  // stored.
   Found begin(Time now, Id id, const std::string& key, std::uint64_t print, std::uint64_t ticket);
   void answered(Time now, Id id, const std::string& key, Result answer);
-  void neverRan(Id id, const std::string& key);  // refused: a repeat is a first run
+  void neverRan(Id id, const std::string& key);  // rejected: a repeat counts as the first run
 
-  void expire(Time now);  // forgets what is due; to be called now and then
+  void expire(Time now);  // removes what has expired; to be called periodically
 
   std::size_t sessions() const { return sessions_.size(); }
   std::size_t entries() const { return entries_; }
@@ -96,7 +98,7 @@
   Limits limits_;
   std::unordered_map<Id, Session> sessions_;
   std::unordered_map<std::string, Id> byName_;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;  // one for each answered entry or detach
+  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;  // one for each finished entry or detach
   std::size_t entries_ = 0, bytes_ = 0;
   Id last_ = 0;
 };
--- a/src/jsonrpc/settings.cpp
+++ b/src/jsonrpc/settings.cpp
@@ -1,4 +1,4 @@
-// Settings of JSON-RPC: each member checked, none passed over.
+// Reads the JSON-RPC settings strictly: each member is checked, unknown ones are errors.
 #include "jsonrpc/settings.hpp"
 
 #include <algorithm>
@@ -17,8 +17,9 @@
 using boost::asio::ip::tcp;
 using nlohmann::json;
 
-// Danger: an answer waits up to twice `stalled` here and up to half the time to live in the kernel before its
-// connection is known to be dead; shorter, it could be forgotten before the drop is seen.
+// The time to live of a session's results. A response may wait up to twice `stalled` here and up to half the
+// time to live in the kernel before its connection is known to be dead. With a shorter time to live, the
+// result would be forgotten before the client can resume the session, and its call would run again.
 constexpr double kTtlLeast = 25, kTtlMost = 3600;  // seconds
 constexpr double kDeadlineMost = 600'000;          // milliseconds
 constexpr std::uint32_t kStreamsMost = 1024;
--- a/src/jsonrpc/socket.hpp
+++ b/src/jsonrpc/socket.hpp
@@ -1,4 +1,4 @@
-// What the connections of both sides ask of a non-blocking socket.
+// Helpers for non-blocking sockets, for client and worker connections.
 #pragma once
 
 #include <boost/asio/error.hpp>
--- a/src/route/json.cpp
+++ b/src/route/json.cpp
@@ -1,4 +1,4 @@
-// Routes as JSON.
+// Writes routes as JSON, and reads them strictly.
 #include "route/json.hpp"
 
 #include <algorithm>
@@ -183,7 +183,8 @@
 
 // --- Reading ----------------------------------------------------------------------------------------------
 
-// One object of the file. What was not asked for when it ends is unknown.
+// Reads one object of the file. A member that was not read when the reader ends is an unknown key, and an
+// error.
 class Object {
  public:
   Object(const json& j, std::string where) : json_(j), where_(std::move(where)) {
--- a/src/route/level.cpp
+++ b/src/route/level.cpp
@@ -1,4 +1,4 @@
-// One level of locations, compiled.
+// Search in one compiled level of locations.
 #include "route/level.hpp"
 
 #include <algorithm>
@@ -8,8 +8,8 @@
 
 constexpr std::size_t kWord = sizeof(std::uint64_t);
 
-// Eight bytes from `at` on, as a number that is ordered as they are; a shorter text is filled up with zeros,
-// which no path holds.
+// Eight bytes from `at` on, as a number that sorts like the bytes; a shorter text is padded with zeros, which
+// no path contains.
 std::uint64_t wordAt(std::string_view text, std::size_t at) {
   std::uint64_t number = 0;
   for (std::size_t i = at; i < at + kWord; ++i)
@@ -63,7 +63,7 @@
   }
   for (std::size_t i = 0; i < entries_.size(); ++i) {
     Entry& e = entries_[i];
-    // What begins this name begins the one before it too, or is that one.
+    // A prefix of this name is either the previous name or a prefix of that.
     for (std::size_t at = i; at > 0 && e.shorter == kNone;) {
       const Entry& before = entries_[at - 1];
       if (before.prefix != kNone && begins(e.name, before.name))
@@ -78,8 +78,8 @@
   Found found;
   if (!begins(path, shared_)) return found;
   const std::string_view rest = path.substr(shared_.size());
-  // The last name that is not after the path: ever fewer share its next eight bytes, and what is left is
-  // compared.
+  // Finds the last name that does not sort after the path: narrows the range by eight bytes at a time, then
+  // compares the rest.
   std::size_t low = 0, high = entries_.size();
   for (std::size_t column = 0; column < columns_.size() && low < high; ++column) {
     const std::uint64_t word = wordAt(rest, column * kWord);
--- a/src/route/level.hpp
+++ b/src/route/level.hpp
@@ -1,4 +1,5 @@
-// One level of locations, compiled: which of its names equals a path or is the longest that begins it.
+// One compiled level of locations: finds the name that equals a path, or the longest one that is a prefix of
+// it.
 #pragma once
 
 #include <cstddef>
@@ -20,7 +21,7 @@
     bool redirect = false;         // the path is a name without its last '/', and no name itself
   };
 
-  // Before seal(), in any order. False if the level has such a one already.
+  // To be called before seal(), in any order. False if the name exists already.
   bool addExact(const std::string& name, std::uint32_t location);
   bool addPrefix(const std::string& name, std::uint32_t location);
   // A path that is `name` without its last byte, a '/', is to be redirected, if it is no name itself.
@@ -44,8 +45,8 @@
 
   std::vector<Entry> entries_;  // sorted by name once sealed
   std::vector<std::vector<std::uint64_t>>
-      columns_;         // of each name, behind what all share: bytes 0 to 7, 8 to 15, ...
-  std::string shared_;  // what all names begin with
+      columns_;         // of each name, behind shared_: bytes 0 to 7, 8 to 15, ...
+  std::string shared_;  // common prefix of all names
   std::unordered_map<std::string, std::size_t> building_;  // until sealed
 };
 
--- a/src/route/names.cpp
+++ b/src/route/names.cpp
@@ -1,4 +1,4 @@
-// Names of hosts against patterns.
+// Matches host names against patterns.
 #include "route/names.hpp"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
 }
 
 bool goodAuthority(std::string_view authority) {
-  if (authority.empty()) return true;  // said, and said to be none (RFC 9112, 3.2)
+  if (authority.empty()) return true;  // an empty Host is valid (RFC 9112, 3.2)
   std::string_view port;
   if (authority.front() == '[') {
     const std::size_t end = authority.find(']');
--- a/src/route/names.hpp
+++ b/src/route/names.hpp
@@ -1,4 +1,5 @@
-// Names of hosts against patterns: exact ones, wildcards at either end. Expressions are the caller's.
+// Matches host names against patterns, exact or with a wildcard at either end. Regular expressions are the
+// caller's.
 #pragma once
 
 #include <cstddef>
--- a/src/route/path.cpp
+++ b/src/route/path.cpp
@@ -27,7 +27,7 @@
 }
 constexpr std::array<bool, 256> kPlain = plainTable();
 
-// What most paths are: nothing to decode, no dots that could be segments, no doubled slash.
+// The common case: nothing to decode, no dot segment, no repeated slash.
 bool canonicalAlready(std::string_view path) {
   char before = 0;
   for (const char c : path) {
--- a/src/route/path.hpp
+++ b/src/route/path.hpp
@@ -1,7 +1,7 @@
 // The one canonical form of a request's path: what routes, names the class and goes to the worker.
 //
 // Decoded once (RFC 3986, 2.1), dot segments removed (5.2.4), slashes merged where asked for. A path that two
-// readers could take for different ones is refused, not repaired.
+// readers could interpret differently is rejected, not repaired.
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 
 namespace cairnjunction::route {
 
-// A path longer than this is refused: locations and expressions are matched against all of it. Heads are
-// bounded to 16 KiB by the front.
+// A longer path is rejected, since all of it is matched by locations and expressions. The frontend bounds
+// heads to 16 KiB.
 inline constexpr std::size_t kPathMost = 16 << 10;  // bytes
 
 enum class PathFault {
--- a/src/route/regex.cpp
+++ b/src/route/regex.cpp
@@ -48,7 +48,7 @@
   for (std::uint32_t i = 0; i < named; ++i, table += width)
     names_.emplace_back(reinterpret_cast<const char*>(table + 2),
                         static_cast<std::size_t>(table[0] << 8 | table[1]));
-  // Where the machine forbids code made at run time this fails, and matching goes on by interpretation.
+  // Fails where the system forbids JIT code; matching is then interpreted.
   pcre2_jit_compile(code, PCRE2_JIT_COMPLETE);
   code_->data.reset(pcre2_match_data_create_from_pattern(code, nullptr));
   code_->context.reset(pcre2_match_context_create(nullptr));
@@ -62,7 +62,7 @@
   const int found = pcre2_match(code_->code.get(), reinterpret_cast<PCRE2_SPTR>(subject.data()),
                                 subject.size(), 0, 0, code_->data.get(), code_->context.get());
   if (found == PCRE2_ERROR_NOMATCH) return Result::none;
-  if (found < 0) return Result::exhausted;  // a limit, or no memory: either way nothing is known
+  if (found < 0) return Result::exhausted;  // a limit was reached or memory is short: no result
   if (!captures) return Result::matched;
   const PCRE2_SIZE* at = pcre2_get_ovector_pointer(code_->data.get());
   captures->assign(groups_ + 1, {});
--- a/src/route/router.cpp
+++ b/src/route/router.cpp
@@ -1,4 +1,4 @@
-// Routes, compiled.
+// Compiles routes, and finds a request's server, location and upstream URI.
 #include "route/router.hpp"
 
 #include <algorithm>
@@ -61,8 +61,8 @@
 struct Port {
   HostPatterns names;
   std::vector<CompiledExpression> expressions;
-  std::uint32_t otherwise = kNone;  // the default server, or else the first
-  bool told = false;                // a default server was
+  std::uint32_t otherwise = kNone;  // default server, or else the first
+  bool told = false;                // a default server was named
 };
 
 enum class Search { none, prefix, found, redirect, exhausted };
@@ -108,7 +108,7 @@
     if (entries > kMapEntriesMost) bad("maps", "more than " + std::to_string(kMapEntriesMost) + " entries");
     for (const Pool& pool : routes.pools)
       if (!pools.insert(pool.name).second) bad("pools", "'" + pool.name + "' stands there twice");
-    // What sets a variable is declared before any text that may use it is compiled.
+    // All variables are declared before the first text that may use one is compiled.
     for (std::size_t i = 0; i < routes.servers.size(); ++i) {
       const Server& server = routes.servers[i];
       const std::string where = "servers/" + std::to_string(i);
@@ -292,9 +292,10 @@
     return listener->second.otherwise;
   }
 
-  // As nginx searches: an exact name ends it; the longest prefix is remembered, and its nested level is
-  // searched; unless that prefix bars them, expressions of this level are asked in order. A prefix that was
-  // found further in does not end it: expressions further out still go before it.
+  // Searches as nginx does: an exact match ends the search. The longest prefix is remembered and its nested
+  // level is searched. Then the expressions of this level are tried in order, unless that prefix excludes
+  // them (^~). A prefix found in a nested level does not end the search: expressions of outer levels still
+  // precede it.
   Search find(std::uint32_t levelIndex, Context& context, std::uint32_t& location) const {
     const CompiledLevel& level = levels[levelIndex];
     const Level::Found names = level.names.find(context.path);
@@ -363,7 +364,7 @@
     }
     context.path = std::move(path.path);
     context.args = std::move(path.query);
-    bool made = false;  // by a rewrite
+    bool made = false;  // the path was made by a rewrite
     if (!server.steps.empty()) {
       Steps::Result result = server.steps.run(context, texts, server.source->mergeSlashes);
       if (result.status) return ended(std::move(d), std::move(result));
@@ -400,7 +401,7 @@
       d.location = location.source;
       d.locationText = location.text;
       if (location.source->internal && !made) return answer(std::move(d), 404, "the location is internal");
-      made = true;  // whatever comes to another location from here on
+      made = true;  // a further location is reached by rewrite or fallback
       Steps::Result result;
       if (!location.steps.empty()) {
         result = location.steps.run(context, texts, merge);
@@ -435,7 +436,7 @@
                    bool rewritten) const {
     const CompiledProxy& proxy = *location.proxy;
     d.pool = texts.evaluate(proxy.pool, context);
-    std::optional<std::string> whole;  // by variables: stands for path and arguments
+    std::optional<std::string> whole;  // target given by variables: replaces path and arguments
     if (!proxy.pool.constant()) {
       if (const std::size_t slash = d.pool.find('/'); slash != std::string::npos) {
         whole = d.pool.substr(slash);
@@ -479,7 +480,8 @@
     return d;
   }
 
-  // What variables gave as a target: decoded or not, it is told by whether a '%' begins an escape.
+  // Encodes a target that variables gave. It may be encoded already or not: a '%' that begins no escape is
+  // taken for a literal one.
   static std::string reencoded(std::string_view uri) {
     const auto hex = [&](std::size_t i) {
       return i < uri.size() &&
@@ -493,7 +495,8 @@
     return safeUrl(whole);
   }
 
-  // Danger: a captured line break would end the header and begin another.
+  // A line break that an expression captured would end the header, and the client's text behind it would
+  // become a header of its own (header injection). Without control characters the value stays one line.
   static std::string cleanValue(std::string value) {
     std::erase_if(value,
                   [](char c) { return (static_cast<unsigned char>(c) < ' ' && c != '\t') || c == 0x7f; });
--- a/src/route/router.hpp
+++ b/src/route/router.hpp
@@ -1,10 +1,10 @@
-// Routes, compiled: which server, location, pool and URI a request has. Made once and never changed; it does
-// no I/O and reads no clock. Not for two threads at once (route/regex.hpp).
+// Compiled routes: find a request's server, location, pool and URI. Immutable; no I/O, no clock. Not
+// thread-safe (route/regex.hpp).
 //
-// The way of a request: its canonical path; the server, by port and name; the server's rewrite steps; then,
-// at most kCyclesMost times, a location and its steps, until no step asks for another location; then that
-// location's fallback, proxy or status. What nginx's documents say of each directive is kept, but for what
-// docs/operators/nginx-import.md names.
+// Steps for a request: its canonical path; the server, by port and name; the server's rewrite steps; then, at
+// most kCyclesMost times, a location and its steps, until no step asks for another location; then that
+// location's fallback, proxy or status. Each directive works as nginx documents it, with the exceptions in
+// docs/operators/nginx-import.md.
 #pragma once
 
 #include <cstddef>
@@ -30,23 +30,23 @@
   struct Counted {         // a request counts in a zone under a key
     std::size_t zone = 0;  // into Routes::rateZones or Routes::connectionZones
     std::string key;
-    std::uint32_t most = 0;  // the burst, or how many may be under way
+    std::uint32_t most = 0;  // the burst, or the bound on requests in flight
   };
   enum class Kind {
     proxy,   // to `pool`, as `uri`
     answer,  // with `status`, by the route itself
-    close    // without a word
+    close    // close the connection without a response
   };
   Kind kind = Kind::answer;
   int status = 404;
-  std::string text;                    // answer: the body, or of a redirect the target
-  PathFault fault = PathFault::none;   // why the path was refused (status 400)
-  const char* why = "";                // of a status of 400 or more that no step asked for; for people
+  std::string text;                    // answer: response body, or target of a redirect
+  PathFault fault = PathFault::none;   // why the path was rejected (status 400)
+  const char* why = "";                // for logs: why the status is 400 or more, if no step set it
   std::string_view server;             // its first name; empty: it has none
   const Location* location = nullptr;  // null: none was reached
   std::string_view locationText;       // as written, with its modifier; empty: none
   std::string pool;
-  std::string path;       // proxy: canonical, as the worker is sent it, decoded
+  std::string path;       // proxy: canonical path for the worker, decoded
   std::string uri;        // proxy: the same on the wire, with its query
   std::string className;  // proxy: the location's, or the first part of `path`
   std::vector<std::pair<std::string, std::string>> headers;  // proxy: to set; an empty value: to leave out
@@ -56,7 +56,7 @@
 
 class Router {
  public:
-  // Searches for a location for one request; then status 500, as nginx's documents say.
+  // Location searches for one request; above it status 500, as nginx documents.
   static constexpr int kCyclesMost = 10;
 
   // Throws BadRoutes.
@@ -68,14 +68,14 @@
   Decision route(const Request& request) const;
   const Routes& routes() const;
   std::uint16_t defaultPort() const;  // 80 if some server listens there, or else that of the first server
-  std::vector<std::string> warnings() const;  // names that clash, for people
+  std::vector<std::string> warnings() const;  // server names that conflict, for logs
 
  private:
   struct Compiled;
   std::unique_ptr<Compiled> compiled_;
 };
 
-// What keeps a location from standing in another, as nginx's documents and its own checks have it.
+// Why a location may not be nested in another, by nginx's documentation and checks.
 enum class NestingFault { none, takesNone, named, outside };
 NestingFault nestingFault(const Location& nested, const Location& parent);
 std::string textOf(NestingFault fault, const Location& nested, const Location& parent);
--- a/src/route/routes.hpp
+++ b/src/route/routes.hpp
@@ -1,6 +1,6 @@
-// Routes as a value: what an importer writes, an operator edits and a Router is made from. Nothing is
-// compiled or checked here; docs/routes.schema.json says the same as JSON. Texts that may hold variables
-// ("$name" or "${name}") are called so; which variables there are says route/variables.hpp.
+// Routes as plain data: written by an importer, edited by operators, compiled by Router. Nothing is checked
+// here; docs/routes.schema.json is the same as JSON. "With variables" marks texts that may contain "$name" or
+// "${name}"; route/variables.hpp lists the variables.
 #pragma once
 
 #include <chrono>
@@ -13,8 +13,7 @@
 
 namespace cairnjunction::route {
 
-// Bounds on a whole file of routes; past them it is turned down. Each is far above any front end that is
-// known.
+// Bounds on a routes file, far above known ones; a larger file is rejected.
 inline constexpr std::size_t kServersMost = 20'000;
 inline constexpr std::size_t kLocationsMost = 400'000;
 inline constexpr std::size_t kDepthMost = 16;       // of nested locations
@@ -56,7 +55,7 @@
   std::vector<std::pair<std::string, std::string>> headers;  // set on the way to the worker; value with
                                                              // variables; an empty value: not sent
   std::optional<std::chrono::milliseconds> connectTimeout;
-  std::optional<std::chrono::milliseconds> timeout;  // for the answer; shortens the class's
+  std::optional<std::chrono::milliseconds> timeout;  // for the response; shortens the class's
   std::optional<std::uint32_t> attempts;  // at most, the first one included; 0: the module's own bound
 };
 
--- a/src/route/steps.cpp
+++ b/src/route/steps.cpp
@@ -1,4 +1,4 @@
-// Rewrite steps, compiled and run.
+// Compiles and runs rewrite steps.
 #include "route/steps.hpp"
 
 #include <algorithm>
@@ -79,7 +79,7 @@
   return result;
 }
 
-// True if it came through to the end, with nothing that ends the steps.
+// True if all steps ran and none ended them.
 bool Steps::runAll(const std::vector<Compiled>& steps, Context& context, const Texts& texts,
                    bool mergeSlashes, Result& result) const {
   for (const Compiled& step : steps) {
@@ -141,7 +141,8 @@
   if (step.external) {
     result.end = End::answered;
     result.status = step.flag == Step::Flag::permanent ? 301 : 302;
-    // Only a path is encoded anew; a whole URL stands as the file has it, but for what no URL may hold.
+    // Only a path is encoded again; a whole URL stays as in the file, except for characters that no URL may
+    // contain.
     result.text = to.empty() || to.front() != '/' ? safeUrl(to) : encoded(to);
     if (!arguments.empty()) result.text.append("?").append(safeUrl(arguments));
     return false;
--- a/src/route/variables.hpp
+++ b/src/route/variables.hpp
@@ -26,7 +26,7 @@
   using std::runtime_error::runtime_error;
 };
 
-// Of a request, as the front has it. All views live as long as the call that is given them.
+// A request, as received by the frontend. All views must outlive the call they are passed to.
 class Headers {
  public:
   // Values of one name, in any case of letters, joined by ", "; empty: none.
@@ -42,7 +42,7 @@
   std::string_view target;  // as it came (RFC 9112, 3.2.1)
   std::uint16_t port = 0;   // of the listener; 0: that of the routes' first one
   std::string_view scheme = "http";
-  std::string_view remote;           // address of the client; empty: not told
+  std::string_view remote;           // address of the client; empty: unknown
   const Headers* headers = nullptr;  // null: none
 };
 
@@ -140,7 +140,7 @@
   std::vector<std::unique_ptr<CompiledMap>> maps_;
 };
 
-// Names of the variables in a text, as written. For whoever judges a text before it is compiled.
+// Names of the variables in a text, as written, for checks before it is compiled.
 std::vector<std::string> variablesIn(std::string_view text);
 
 // The value of one cookie of a Cookie header (RFC 6265, 4.2.1); empty: there is none.
