--- a/tests/net_peers.hpp
+++ b/tests/net_peers.hpp
@@ -1,5 +1,5 @@
-// Scripted peers on loopback for the gateway's tests: hosts, clients and discovery, all on the test's own
-// event loop. Nothing sleeps: a test waits for what it expects, for a generous time.
+// Scripted peers on loopback for the gateway's tests: endpoints, clients and discovery, all on the test's own
+// event loop. Nothing sleeps: a test waits for the expected event, with a generous timeout.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -33,15 +33,16 @@
 
 inline tcp::endpoint loopback(unsigned short port = 0) { return {asio::ip::make_address("127.0.0.1"), port}; }
 
-// A port at which nobody listens, for as long as this lives: connections to it are refused. A listener that
-// sets SO_REUSEADDR, as Asio's do, may take it, and leave it and take it again. Danger: a port that was only
-// looked up and freed may be given to any connection of another test before it is used.
+// Reserves a port on which nothing listens while this object lives: connections to it are refused. A listener
+// that sets SO_REUSEADDR, as Asio's do, may still bind it, close, and bind it again. A port that was only
+// looked up and released could be given to a connection of another test before it is used, and the test would
+// then fail now and then.
 class ReservedPort {
  public:
   explicit ReservedPort(asio::io_context& io, unsigned short port = 0) : socket_(io, tcp::v4()) {
     socket_.bind(loopback(port), taken_);
     if (taken_) return;
-    // Set behind the bind: so two that reserve never share one.
+    // Set after bind(), so that two reservations never share a port.
     socket_.set_option(tcp::socket::reuse_address(true));
     endpoint = socket_.local_endpoint();
   }
@@ -93,7 +94,7 @@
         self->closedByPeer = true;
         return;
       }
-      // Reads on at once, so that the other side's closing is seen while the script makes it wait.
+      // Reads on at once, so that a disconnect is seen while the script delays its response.
       self->script_(*self);
       if (self->open) self->watch();
     });
@@ -170,7 +171,8 @@
   tcp::acceptor acceptor_;
 };
 
-// Answers lists and first looks at once, holds the watches until something is pushed.
+// Discovery: responds to polls and to a watch's first request at once, and holds further watches until a list
+// is pushed.
 class FakeDiscovery {
  public:
   explicit FakeDiscovery(asio::io_context& io) : peer(io, [this](PeerConnection& c) { asked(c); }) {}
@@ -199,7 +201,7 @@
   }
 };
 
-// A client's connection. Sends any text; keeps the answers.
+// A client's connection. Sends any text; keeps the responses.
 class Client : public std::enable_shared_from_this<Client> {
  public:
   static std::shared_ptr<Client> connect(asio::io_context& io, const tcp::endpoint& to) {
@@ -235,7 +237,7 @@
   std::optional<http::response_parser<http::string_body>> parser_;
 };
 
-// Times so long that a slow machine changes no verdict; a test that waits for their end shortens them.
+// Timeouts so long that a slow machine changes no result; a test that waits for one shortens it.
 inline json classJson(const std::string& name, const std::string& effect, const std::string& group = "all") {
   return {{"name", name},
           {"effect", effect},
--- a/tools/lab/checks.cpp
+++ b/tools/lab/checks.cpp
@@ -1,4 +1,4 @@
-// The promises, judged from ledgers.
+// Checks of a run's ledgers against the guarantees of the operators' pages.
 #include "lab/checks.hpp"
 
 #include <algorithm>
@@ -13,11 +13,12 @@
 using nlohmann::json;
 
 constexpr std::size_t kToldMost = 5;
-// A fault may show in calls that were under way before it, and in those that came while its process returned.
+// A fault may affect calls in flight before it, and calls that arrive while its process restarts.
 constexpr std::int64_t kBeforeMs = 100, kAfterMs = 2000;
-// Of rule 3: the grace of the settings, and what a call may take from the decision to the worker's ledger.
+// Rule 3: the propagation deadline of the settings, and the longest time from a call's dispatch to the
+// worker's ledger.
 constexpr std::int64_t kGraceMs = 1000, kOnTheWayMs = 300;
-// Faults that keep an owner from being heard.
+// Faults that keep a lease holder's heartbeats from the coordinators.
 const std::set<std::string> kSilencing{"kill", "stop", "term", "cut", "hold", "hears-none", "hold-sent"};
 
 struct Judge {
@@ -39,8 +40,8 @@
   });
 }
 
-// An answer that is later than this after the client's time is none; on a busy machine all clocks of a run
-// stretch.
+// A response later than this after the client timeout counts as none. The bound may be raised for a busy
+// machine, where all timing is late.
 double lateMs(const Ledgers& l) { return l.run.value("late_ms", 500.0); }
 
 double giveUpMs(const Ledgers& l, const std::string& name) {
@@ -54,7 +55,7 @@
     const bool good =
         call.answers == 1 && call.status != 0 && call.tookMs <= giveUpMs(l, call.name) + lateMs(l);
     if (good) continue;
-    // A process that is killed or stopped owes nothing more; two answers are never excused.
+    // A killed or stopped process need not respond; two responses are always a violation.
     if (call.answers <= 1 && excused(l, "n" + std::to_string(call.gateway), call.dueMs,
                                      call.dueMs + static_cast<std::int64_t>(call.tookMs)))
       continue;
@@ -77,7 +78,7 @@
   return judge.check;
 }
 
-// When each process of a gateway was told of a version: by an order, or by its own call.
+// When each process of a gateway got a list version: by a command, or by its own poll.
 struct Told {
   std::int64_t startMs = 0;
   std::vector<std::pair<std::int64_t, std::int64_t>> versions;  // ms, version
@@ -94,7 +95,7 @@
   return all;
 }
 
-// When the gateway's process that was there at `atMs` had been told of the drain; none: it had not.
+// When the gateway's process that ran at `atMs` was notified of the drain; none: it was not.
 std::optional<std::int64_t> toldOfDrain(const std::vector<Told>& processes, std::int64_t atMs,
                                         const HostLine& drain) {
   const auto process =
@@ -177,7 +178,7 @@
   return judge.check;
 }
 
-// Whoever is there at the end acts on the last version.
+// Every member alive at the end must have the last list version.
 Check listsCaughtUp(const Ledgers& l) {
   Judge judge("lists-caught-up");
   if (l.hosts.empty()) return judge.check;
@@ -190,7 +191,7 @@
     if (!processes.empty())
       for (const auto& [ms, version] : processes.back().versions)
         if (ms <= l.run.value("end_ms", INT64_MAX))
-          last = version;  // what it hears in its stop comes too late
+          last = version;  // versions that arrive during its shutdown do not count
     if (last != l.hosts.back().version)
       judge.broken(name.get<std::string>() + " ends with version " + std::to_string(last) + " of " +
                    std::to_string(l.hosts.back().version));
@@ -198,7 +199,7 @@
   return judge.check;
 }
 
-// An experiment that is there to bring old orders must have brought them, or it shows nothing.
+// An experiment that provokes commands of former lease holders must have produced some, or it proves nothing.
 Check oldOrdersCame(const Ledgers& l) {
   Judge judge("old-orders-came-and-were-refused");
   for (const auto& [name, lines] : l.members)
@@ -241,7 +242,7 @@
   for (const Span& s : owned) {
     const Span*& before = last[{s.duty, s.shard}];
     if (before) {
-      // Its own word, or the fault that silenced it, whichever was first.
+      // The end is what the holder reported, or the fault that isolated it, whichever was first.
       std::int64_t end = before->endMs && before->endMs <= s.beginMs ? before->endMs : s.beginMs;
       std::string after = before->why.empty() ? "silence" : before->why;
       for (const FaultSpan& f : l.faults)
--- a/tools/lab/clock_preload.cpp
+++ b/tools/lab/clock_preload.cpp
@@ -1,5 +1,5 @@
-// Loaded into a process by the lab: its wall clock is off by what the first eight bytes of the file
-// $LAB_CLOCK say, in ms. Clocks that count on are as they were.
+// Preloaded into a process by the lab: shifts its wall clock by the ms in the first eight bytes of the file
+// $LAB_CLOCK. Monotonic clocks are not changed.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/mman.h>
--- a/tools/lab/experiment.cpp
+++ b/tools/lab/experiment.cpp
@@ -1,4 +1,4 @@
-// Experiments from TOML.
+// Reads experiments from TOML and draws their random faults.
 #include "lab/experiment.hpp"
 
 #include <algorithm>
@@ -119,7 +119,7 @@
   };
   const std::vector<FaultKind> kinds =
       e.randomKinds.empty() ? std::vector<FaultKind>(kKinds.begin(), kKinds.end() - 1) : e.randomKinds;
-  // The last part of the run is calm, so that what does not return shows.
+  // No faults in the last part of the run, so that anything that does not recover shows.
   const int calm = 4 * e.leaseMs + 3000, until = std::max(e.seconds * 1000 - calm, e.randomFromMs + 1);
   for (int i = 0; i < e.randomFaults; ++i) {
     Fault fault;
--- a/tools/lab/experiment.hpp
+++ b/tools/lab/experiment.hpp
@@ -16,7 +16,7 @@
   kill,       // SIGKILL; started again after `for`
   stop,       // SIGSTOP; SIGCONT after `for`
   term,       // SIGTERM; started again after `for`
-  cut,        // its links pass nothing; after `for` they are reset, what was on them is lost
+  cut,        // its links pass nothing; after `for` they are reset, bytes on them are lost
   hold,       // its links pass nothing; after `for` they deliver all that was held back
   hearsNone,  // one way: what it sends passes, what is sent to it is held back
   delay,      // each byte on its links comes `ms` later
@@ -32,12 +32,12 @@
   int atMs = 0, forMs = 0;
   int ms = 0;  // of a delay, or of a clock's step
   FaultKind kind = FaultKind::kill;
-  // owner:DUTY (whoever owns it then), leader, gateway:N, keeper:N, keepers, majority, gateways:SHARE,
-  // worker:N
+  // owner:DUTY (its lease holder at that time), leader, gateway:N, keeper:N, keepers, majority,
+  // gateways:SHARE, worker:N
   std::string whom;
 };
 
-struct HostChange {  // what discovery tells of a worker
+struct HostChange {  // a worker's change in the endpoint list
   int atMs = 0, worker = 0;
   std::string state;  // SERVING, DRAINING, DELETED
 };
@@ -51,7 +51,7 @@
   double rate = 100;    // calls a second over all gateways
   int beatMs = 200, leaseMs = 800, aloneMs = 800, electionMs = 300, settleMs = 300;
   int probeShards = 8;
-  int expectRefused = 0;  // orders of old owners that came, and had to be refused, at least
+  int expectRefused = 0;  // least number of rejected commands of former lease holders
   std::vector<Fault> faults;
   std::vector<HostChange> changes;
   // Drawn by the seed, beside those above.
--- a/tools/lab/ledgers.cpp
+++ b/tools/lab/ledgers.cpp
@@ -1,4 +1,4 @@
-// Ledgers from a run's folder.
+// Reads the ledgers from a run's folder.
 #include "lab/ledgers.hpp"
 
 #include <filesystem>
@@ -18,7 +18,8 @@
   int number = 0;
   while (std::getline(file, line)) {
     ++number;
-    // Danger: the last line of a process that was killed may be half a line; only that one may.
+    // A process that was killed may leave an incomplete last line, with no line break; it is skipped. A line
+    // that can't be read anywhere else is an error.
     if (file.eof()) break;
     try {
       each(line);
--- a/tools/lab/ledgers.hpp
+++ b/tools/lab/ledgers.hpp
@@ -1,4 +1,4 @@
-// What a run left behind: the ledgers of clients, workers, members and keepers, and the faults, read from a
+// The record of a run: ledgers of clients, workers, members and coordinators, and the faults, read from a
 // folder.
 #pragma once
 
@@ -42,8 +42,8 @@
   std::map<std::string, std::vector<nlohmann::json>> members, keepers;  // their lines, by process
 };
 
-// The structured lines of a member or keeper, which may be running: what else stands there, and half a line
-// at the end, is passed over. A missing file has none. Throws std::runtime_error.
+// The structured lines of a member or coordinator, which may be running: other text, and an incomplete last
+// line, are skipped. A missing file has none. Throws std::runtime_error.
 std::vector<nlohmann::json> readJournal(const std::string& path);
 
 // Throws std::runtime_error with the file and line that can't be read; a file that is missing is an empty
--- a/tools/lab/load.cpp
+++ b/tools/lab/load.cpp
@@ -1,4 +1,4 @@
-// An open-loop load.
+// Generates an open-loop load over HTTP.
 #include "lab/load.hpp"
 
 #include <array>
@@ -41,7 +41,7 @@
                            self->read();
                          });
   }
-  // To the end of the connection, so that a second answer would be seen.
+  // Reads to the end of the connection, so that a second response would be seen.
   void read() {
     boost::asio::async_read(socket, boost::asio::dynamic_buffer(answer, 1 << 20),
                             [self = shared_from_this()](error_code ec, std::size_t) {
--- a/tools/lab/load.hpp
+++ b/tools/lab/load.hpp
@@ -1,5 +1,5 @@
-// An open-loop load: calls come when they are due, whatever became of the ones before. Each is one
-// connection; its latency counts from when it was due.
+// An open-loop load: calls are sent at their scheduled times, whatever the outcome of earlier ones. Each uses
+// a connection of its own; its latency counts from the scheduled time.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,8 +16,8 @@
 
 class Load {
  public:
-  // Writes a line for each call to `ledger` when it is over. A client waits so long for an answer: past it
-  // the call was lost.
+  // Writes a line for each call to `ledger` when it ends. `wait`: how long a client waits for a response;
+  // later the call counts as lost.
   Load(boost::asio::io_context& io, std::vector<std::uint16_t> gateways, double rate, std::uint64_t seed,
        const std::string& ledger, std::chrono::milliseconds wait);
   void start() { next(); }
--- a/tools/lab/process.cpp
+++ b/tools/lab/process.cpp
@@ -37,8 +37,8 @@
   else posix_spawn_file_actions_addopen(&actions, 0, "/dev/null", O_RDONLY, 0);
   posix_spawn_file_actions_addopen(&actions, 1, output.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
   posix_spawn_file_actions_adddup2(&actions, 1, 2);
-  // Danger: a listening socket of the lab's that a child holds too would go on listening when it is closed
-  // here.
+  // A child that inherited a listening socket of the lab would keep it open: after the lab closes its own
+  // descriptor, connections would still be accepted and never served. So descriptors from 3 on are closed.
   posix_spawn_file_actions_addclosefrom_np(&actions, 3);
   const int failed = posix_spawn(&pid_, program.c_str(), &actions, nullptr, argv.data(), env.data());
   posix_spawn_file_actions_destroy(&actions);
--- a/tools/lab/proxy.cpp
+++ b/tools/lab/proxy.cpp
@@ -1,4 +1,4 @@
-// A link of the lab's own.
+// A link between two processes that the lab can delay, hold or reset.
 #include "lab/proxy.hpp"
 
 #include <array>
@@ -99,7 +99,8 @@
                              });
   }
 
-  // Whoever `way` leads to is gone. What it sent before is still on its way, if it is held back here.
+  // The receiver of `way` has disconnected. Bytes that it sent before are still delivered if they are held
+  // back here.
   void lost(Way& way) {
     if (otherOf(way).held.empty()) return close(true);
     gone = true;
--- a/tools/lab/report.cpp
+++ b/tools/lab/report.cpp
@@ -1,4 +1,4 @@
-// A run's report.
+// Writes a run's report: result.json, plots and Markdown.
 #include "lab/report.hpp"
 
 #include <algorithm>
@@ -42,7 +42,7 @@
         << "\" stroke=\"#eee\"/>\n";
 }
 
-// A row for each process: bars for faults in grey, for what it owns in a colour a duty.
+// A row for each process: grey bars for faults, a colour for each task whose lease it holds.
 void owners(std::ostream& svg, const Ledgers& l, const Scale& x) {
   std::map<std::string, int> row;
   for (const auto& [name, lines] : l.members) row.emplace(name, 0);
@@ -77,7 +77,7 @@
   svg << "</svg>\n";
 }
 
-// Calls a quarter of a second: served below, refused and failed above it.
+// Calls per quarter of a second: served at the bottom, rejected and failed above.
 void calls(std::ostream& svg, const Ledgers& l, const Scale& x) {
   constexpr std::int64_t kBin = 250;
   constexpr int kHeight = 160;
--- a/tools/lab/report.hpp
+++ b/tools/lab/report.hpp
@@ -1,5 +1,5 @@
-// A run for people and for programs: result.json, and a Markdown page with plots of who owned what when, of
-// the faults, and of what was served and refused.
+// Reports on a run: result.json, and a Markdown page with plots of lease holders over time, faults, and calls
+// served and rejected.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/tools/lab/run.cpp
+++ b/tools/lab/run.cpp
@@ -51,7 +51,7 @@
     error_code ec;
     tcp::acceptor probe(io_);
     probe.open(tcp::v4());
-    probe.set_option(tcp::acceptor::reuse_address(true));  // one that an earlier run has just left is free
+    probe.set_option(tcp::acceptor::reuse_address(true));  // TIME_WAIT counts as free
     probe.bind({boost::asio::ip::make_address("127.0.0.1"), nextPort_}, ec);
     if (!ec) return nextPort_++;
   }
@@ -171,7 +171,7 @@
       options_.programs + "/" + program, node.words, options_.folder + "/" + node.name + ".out", false,
       std::vector<std::string>{"LD_PRELOAD=" + options_.programs + "/libcairnjunction-clock.so",
                                "LAB_CLOCK=" + clock,
-                               // Its own libraries come after the clock, which is no harm.
+                               // The clock comes before ASan's runtime, which ASan would reject.
                                "ASAN_OPTIONS=verify_asan_link_order=0"});
 }
 
@@ -226,7 +226,7 @@
     });
   });
   if (!ready) throw CouldNotRun("not all gateways listen");
-  // A duty has its first owner, and all have the list, before the load and the plan begin.
+  // Every task has a lease holder, and all members the endpoint list, before load and faults begin.
   const auto told = [&](auto& entry) {
     const auto lines = journalOf(entry.first);
     return entry.first.front() != 'n' || std::any_of(lines.begin(), lines.end(), [](const json& line) {
@@ -239,13 +239,13 @@
     throw CouldNotRun("not all gateways were told a list");
 }
 
-// --- Who is meant --------------------------------------------------------------------------------------
+// --- Targets of faults ------------------------------------------------------------------------------------
 
 std::vector<json> Run::journalOf(const std::string& name) const {
   return readJournal(options_.folder + "/" + name + ".jsonl");
 }
 
-// By the members' own lines: the one that began the highest epoch and has not ended it.
+// The lease holder by the members' own lines: the one that began the highest epoch and has not ended it.
 std::string Run::ownerOf(const std::string& duty) const {
   std::string owner;
   std::uint64_t highest = 0;
@@ -334,7 +334,8 @@
   const bool out = any([](const auto& h) { return h.out && !h.keepersOnly; });
   const bool in = any([](const auto& h) { return h.in && !h.keepersOnly; });
   const bool sent = any([](const auto& h) { return h.out; });
-  // Danger: a link that is let go for a moment has delivered.
+  // A link that is released only for a moment delivers all that it held back. So the state that follows from
+  // all current faults is computed first, and then set once on each link.
   for (Proxy* p : node.out) {
     const bool toKeeper = std::count(node.keepers.begin(), node.keepers.end(), p) > 0;
     p->hold(toKeeper ? sent : out, in);
@@ -342,7 +343,7 @@
   for (Proxy* p : node.in) p->hold(in, out);
 }
 
-// The process has the file's first eight bytes in its memory.
+// The process has mapped the file's first eight bytes (clock_preload.cpp).
 void Run::stepClock(const Node& node, std::int64_t ms) const {
   std::fstream file(options_.folder + "/" + node.name + ".clock",
                     std::ios::in | std::ios::out | std::ios::binary);
@@ -400,7 +401,7 @@
     case FaultKind::reset: break;
     case FaultKind::diskFull:
       node.process->limitFiles(false);
-      if (!node.process->running()) restart(node);  // a keeper that can't write ends
+      if (!node.process->running()) restart(node);  // a coordinator that can't write its log ends
       break;
   }
   setHolds(node);
@@ -421,7 +422,7 @@
 
 // --- The run -------------------------------------------------------------------------------------------
 
-// The fleet's figures of all gateways that answer, summed.
+// Sum of the fleet's figures over all gateways that respond.
 std::map<std::string, std::uint64_t> Run::doorFigures() {
   std::map<std::string, std::uint64_t> sums;
   for (auto& [name, node] : nodes_) {
--- a/tools/lab/run.hpp
+++ b/tools/lab/run.hpp
@@ -29,7 +29,7 @@
   std::string programs;  // folder of cairnjunction and the others
   std::string folder;    // empty or to be made; the ledgers go there
   std::uint64_t seed = 1;
-  int lateMs = 500;                // an answer that comes so long after the client's time is none
+  int lateMs = 500;                // a response this late after the client timeout counts as none
   std::uint16_t portBase = 20000;  // below the system's own; some hundreds on from there
 };
 
