--- a/src/fleet/lease_state_machine.cpp
+++ b/src/fleet/lease_state_machine.cpp
@@ -1,6 +1,7 @@
 #include "fleet/lease_state_machine.hpp"
 
 #include <stdexcept>
+
 #include "lease/codec.hpp"
 
 namespace cairnjunction::fleet {
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -44,7 +44,7 @@
 class AdminServerTest : public LoopTest {
  protected:
   admin::AdminServer server{io, loopback(),
-                          [](std::string_view line) { return "SUCCESS " + std::string(line) + "\n"; }};
+                            [](std::string_view line) { return "SUCCESS " + std::string(line) + "\n"; }};
   std::string ask(const std::string& text) {
     const auto call = Call::to(io, server.listening());
     call->say(text);
