--- a/include/cairnjunction/action.hpp
+++ b/include/cairnjunction/action.hpp
@@ -16,8 +16,8 @@
   fail,            // answer with an error: the request may have run
   cancel,          // the attempt, if it still runs
   closeIdle,       // the idle connections to the endpoint
-  forgetEndpoint,  // it is gone and no open request names it: its id may be given out again
-  scheduleWake,    // call onWake at wakeAt; replaces an earlier wish
+  forgetEndpoint,  // drop all state of it: it was removed, and its id may be reused for another endpoint
+  scheduleWake,    // call onWake at wakeAt; replaces the time of any scheduleWake before
   pollEndpoints,   // ask discovery for the endpoint list
   log              // the text
 };
@@ -28,7 +28,7 @@
   std::uint32_t attempt = 0;    // send, cancel: number of the attempt, from 0
   EndpointId endpoint = kNone;  // send, closeIdle, forgetEndpoint
   Duration timeLimit{};         // send: how long the attempt may take
-  Duration retryAfter{};        // reject: what the client is told to wait; 0: nothing
+  Duration retryAfter{};        // reject: Retry-After for the client; 0: none
   Timestamp wakeAt{};           // scheduleWake
   std::string text;             // log
 };
--- a/include/cairnjunction/attempt.hpp
+++ b/include/cairnjunction/attempt.hpp
@@ -21,13 +21,13 @@
   invalidRequest  // the endpoint found fault with the request itself; may have run
 };
 
-// Why an attempt ended as it did, where the one who carried it knows.
+// Why an attempt ended with its outcome, where the program that carried it out knows.
 enum class FailureReason : std::uint8_t {
   unknown,
-  connectionRefused,    // connectFailed: the endpoint's machine answered that nobody takes connections
+  connectionRefused,    // connectFailed: refused, or another error of the machine or the network (no route)
   connectTimeout,       // connectFailed: the new connection did not come up in the time for it
   attemptTimeout,       // connectFailed: the attempt's own time ended before that
-  noDescriptor,         // connectFailed: the gateway had none left, which says nothing of the endpoint
+  noDescriptor,         // connectFailed: the gateway itself had no descriptor, local port or memory left
   brokenWhileWriting,   // connectFailed: the connection broke before the last byte was written
   cancelledBeforeSend,  // connectFailed: taken back unwritten: the list drained, removed or moved the
                         // endpoint, or the client left
@@ -47,7 +47,7 @@
   EndpointId endpoint = kNone;  // as in ActionKind::send
   Outcome outcome = Outcome::served;
   Duration elapsed{};        // since it was sent
-  bool endsRequest = false;  // the client has its answer, or needs none
+  bool endsRequest = false;  // the client was answered or has disconnected: no retry, no further answer
   FailureReason failureReason = FailureReason::unknown;
   ConnectionUse connectionUse = ConnectionUse::unknown;
   bool connectionKept = false;  // the connection stays open; set by those who know connectionUse
--- a/include/cairnjunction/endpoint.hpp
+++ b/include/cairnjunction/endpoint.hpp
@@ -41,8 +41,8 @@
   unavailable  // discovery could not be reached: there are no entries
 };
 
-// How an endpoint can be reached, by one who sees its connections. Endpoints are reachable until reported
-// otherwise.
+// Whether connections to an endpoint can be had, as reported by LoadBalancer::onReachability. Endpoints are
+// reachable until reported otherwise.
 enum class Reachability : std::uint8_t {
   reachable,
   probeOnly,   // one attempt may be sent, to find out; once it is sent the endpoint is unreachable
--- a/include/cairnjunction/load_balancer.hpp
+++ b/include/cairnjunction/load_balancer.hpp
@@ -49,7 +49,8 @@
   // The client has part of this attempt's response: no other attempt can answer it now.
   void onResponseStarted(Timestamp now, RequestId request, std::uint32_t attempt);
 
-  // An attempt has ended. To be told of every attempt that was sent, those of ended requests included.
+  // An attempt has ended. The caller must report this once for every ActionKind::send, also when the request
+  // itself is already answered; until then the attempt counts as in flight and the request is kept.
   void onResult(Timestamp now, const AttemptResult& result);
 
   // The client is gone and needs no answer.
@@ -67,8 +68,9 @@
   // exact, and every change is to be reported.
   void onConnections(EndpointId endpoint, std::uint32_t open);
 
-  // Those since the caller last cleared them, in the order in which they are to be carried out. Owned by the
-  // LoadBalancer, valid until its next event.
+  // The actions that events have added since the caller last cleared this vector, in the order in which to
+  // carry them out. Only the caller clears it. Events append to it, so references to its elements do not
+  // survive an event.
   std::vector<Action>& actions();
 
   // kNone if no list has named the address, or it was forgotten.
@@ -80,15 +82,16 @@
   // 0 to 100: requests with a lower priority score are rejected now.
   double cutoff() const;
 
-  // Requests that are not answered, or have attempts that are not settled.
+  // Requests that are not answered yet, or have attempts whose result was not reported yet.
   std::size_t activeRequests() const;
 
-  // What is believed of an endpoint: attempts of this gateway in flight; open connections. 0 for an unknown
-  // one.
+  // Attempts of this gateway that are in flight to the endpoint, and its open connections: as reported by
+  // onConnections, or an estimate before the first report. 0 for an unknown endpoint.
   std::uint32_t attemptsInFlight(EndpointId endpoint) const;
   std::uint32_t openConnections(EndpointId endpoint) const;
 
-  // Ejected, unresponsive or out of reach: nothing but a trial is sent there. True for an unknown one.
+  // Ejected, unresponsive or not reachable: it is sent a probe at most, or what no healthy endpoint can take.
+  // True for an id that was never given out.
   bool isAvoided(EndpointId endpoint) const;
 
  private:
--- a/include/cairnjunction/settings.hpp
+++ b/include/cairnjunction/settings.hpp
@@ -69,8 +69,9 @@
   Duration eventInterval{};             // events come in batches of this spacing: how late they may be seen
   Duration slowStartDuration{};         // after its start an endpoint reaches its full capacity in this time
   double slowStartInitialFraction = 1;  // share of its capacity that it starts with; above 0, to 1
-  double collapseLoadFactor = 3;        // it breaks down when sent this multiple of its capacity; above 0
-  Duration collapseWindow{};            // for this long
+  // An endpoint collapses when it is sent this multiple of its capacity (above 0) for collapseWindow.
+  double collapseLoadFactor = 3;
+  Duration collapseWindow{};
   Duration keyCooldown{};  // serializedByKey: a key rests so long after an attempt of unknown end
 };
 
--- a/include/cairnjunction/time.hpp
+++ b/include/cairnjunction/time.hpp
@@ -1,4 +1,4 @@
-// Points in time and spans of time, as the load balancer is told them.
+// Points in time and durations in the interface of the load balancer.
 #pragma once
 
 #include <chrono>
--- a/src/consensus/voter_identity.hpp
+++ b/src/consensus/voter_identity.hpp
@@ -1,5 +1,5 @@
-// Who a voter is, by its disk: so that one that lost its disk, or was given an older copy of it, is not taken
-// for the one that voted with it.
+// Identifies a voter by its disk: one whose disk was lost, or replaced by an older copy, must not vote, since
+// it has forgotten votes and entries that it had acknowledged.
 #pragma once
 
 #include <cstdint>
--- a/src/core/active_call.hpp
+++ b/src/core/active_call.hpp
@@ -15,8 +15,8 @@
   ReplySink* sink = nullptr;        // never null; called at most once
   std::uint64_t frontendToken = 0;  // handed back to the sink
   policy::Timestamp deadline{};     // no attempt begins at or after it
-  // Attempts without an end: at most one that an upstream has, and each that was denied and whose end
-  // (Outcome::notSent) is queued.
+  // Attempts whose end is not handled yet: at most one that was passed to the upstream, and denied ones whose
+  // Outcome::notSent is still in Engine::endedAttempts_.
   std::uint32_t attemptsInFlight = 0;
   std::uint32_t latestAttempt = 0;             // number of the last one that an upstream was given
   policy::Timestamp latestAttemptStartedAt{};  // when that was
--- a/src/core/attempt_rules.hpp
+++ b/src/core/attempt_rules.hpp
@@ -16,8 +16,8 @@
   dedupWindowPassed  // as that, since workers would no longer drop the repeat
 };
 
-// Whether the load balancer should never have asked. The window may pass between its clock's step and the
-// engine's, so that alone is no violation.
+// Whether the denial shows a fault of the load balancer, which must not request such an attempt. A passed
+// dedup window is none: it may pass between the load balancer's decision and this check.
 constexpr bool isViolation(AttemptPermission permission) {
   return permission != AttemptPermission::allowed && permission != AttemptPermission::dedupWindowPassed;
 }
--- a/src/core/call_table.hpp
+++ b/src/core/call_table.hpp
@@ -34,7 +34,8 @@
 
   std::size_t size() const { return calls_.size(); }
   std::size_t awaitingReply() const { return awaitingReply_; }
-  std::vector<CallId> unsettledPast(policy::Timestamp time) const;  // whose deadline is later
+  // Calls that are not settled and whose deadline is after `time`.
+  std::vector<CallId> unsettledPast(policy::Timestamp time) const;
   // For each class index below `count`, whether an open call holds it.
   std::vector<bool> heldClasses(std::size_t count) const;
 
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -271,7 +271,8 @@
   }
 }
 
-// The load balancer asks for its next wake at each event, so an earlier one that is already asked for stands.
+// Keeps a wake-up that is already requested for an earlier time: at that wake-up the load balancer requests
+// the next one, and wake() does no harm when nothing is due.
 void Engine::scheduleWake(Timestamp at) {
   if (nextWakeAt_ && *nextWakeAt_ <= at) return;
   nextWakeAt_ = at;
--- a/src/core/engine.hpp
+++ b/src/core/engine.hpp
@@ -13,8 +13,7 @@
 //  - no attempts overlap: an attempt is started only when the one before it has ended, before the call's
 //    deadline and before the call has its reply;
 //  - no effect twice: once an attempt may have been executed, an unsafe call is not sent again, and a keyed
-//  one
-//    is written only within its dedup window, counted from the start of the first such attempt.
+//    one is written only within its dedup window, counted from the start of the first such attempt.
 #pragma once
 
 #include <cstddef>
--- a/src/fleet/command_receiver.hpp
+++ b/src/fleet/command_receiver.hpp
@@ -33,7 +33,7 @@
   CommandReceiver(const CommandReceiver&) = delete;
   CommandReceiver& operator=(const CommandReceiver&) = delete;
 
-  // How far the fleet has come, by the leader.
+  // Raises the fencing marks to those of the leader's JoinResponse.
   void learn(const FencingMarks& marks) { gate_.learn(marks); }
   // A command of another member, or of this one by another link.
   void receive(const Command& command);
--- a/src/fleet/connection_table.hpp
+++ b/src/fleet/connection_table.hpp
@@ -24,7 +24,8 @@
   bool eligible = false;  // may be granted leases; false again once it leaves
   bool joined = false;    // its JoinResponse was sent
   bool ended = false;     // the link has ended; kept only by callbacks that still run
-  // Of its last heartbeat, by the member's clock. A grant counts from it, so there is none without.
+  // Heartbeat::sentAt of its last heartbeat (the member's clock). A lease counts from it, so a member is
+  // granted nothing before its first heartbeat.
   std::optional<lease::BootTime> lastHeartbeat;
 
   bool canBeGranted() const { return joined && eligible && lastHeartbeat; }
--- a/src/fleet/coordinator.cpp
+++ b/src/fleet/coordinator.cpp
@@ -68,7 +68,6 @@
 }
 
 // --- Connections
-// --------------------------------------------------------------------------------------------
 
 void Coordinator::accept() {
   acceptor_.async_accept(lifetime_.guard([this](error_code error, tcp::socket socket) {
@@ -134,7 +133,6 @@
 }
 
 // --- Handshakes and joining
-// ---------------------------------------------------------------------------------
 
 void Coordinator::on(const PeerConnectionPtr& connection, const VoterHandshakeRequest& request) {
   const bool isPeer = request.protocol == kProtocol && request.fleet == settings_.fleet &&
@@ -200,7 +198,6 @@
 }
 
 // --- Leases and commands
-// ------------------------------------------------------------------------------------
 
 void Coordinator::on(const PeerConnectionPtr& connection, const Heartbeat& heartbeat) {
   renewal_.onHeartbeat(connection, heartbeat);
@@ -242,7 +239,6 @@
 }
 
 // --- Operators
-// ----------------------------------------------------------------------------------------------
 
 json Coordinator::status() const {
   return statusJson({settings_.fleet, number_, forwardedCommands_, rejectedPeers_}, log_, connections_);
--- a/src/fleet/dial_backoff.hpp
+++ b/src/fleet/dial_backoff.hpp
@@ -33,7 +33,7 @@
  private:
   static constexpr int kMaxDoublings = 10;  // beyond kMaxDelay
 
-  int failures_ = 0;  // links on end that did not join
+  int failures_ = 0;  // links in a row that did not join
 };
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/event_names.hpp
+++ b/src/fleet/event_names.hpp
@@ -12,8 +12,8 @@
   started,            // the process began, with its incarnation
   joined,             // a leader admitted it
   linkEnded,          // its link to a coordinator ended, and how
-  isolated,           // no coordinator was heard of for the isolation timeout
-  isolationEnded,     // one is heard of again
+  isolated,           // nothing came from a leader for Settings::isolatedAfter
+  isolationEnded,     // a leader has answered again
   leaseAcquired,      // it holds a lease from now on, under this epoch
   leaseEnded,         // it holds it no longer, and why
   commandSent,        // as lease holder
--- a/src/fleet/member.cpp
+++ b/src/fleet/member.cpp
@@ -64,7 +64,6 @@
 }
 
 // --- The link to the leader
-// ---------------------------------------------------------------------------------
 
 void Member::onJoin(const JoinResponse& response) {
   memberCount_ = std::max<std::uint32_t>(response.members, 1);
@@ -94,7 +93,6 @@
 }
 
 // --- Leases
-// -------------------------------------------------------------------------------------------------
 
 void Member::sendHeartbeat() {
   // Read before the heartbeat is written: the leases that it renews count from here, and the leader's count
@@ -180,7 +178,6 @@
 }
 
 // --- Commands
-// -----------------------------------------------------------------------------------------------
 
 bool Member::sendCommand(const LeaseKey& key, std::string body, bool retained) {
   if (!hasJoined()) return false;
--- a/src/fleet/settings.hpp
+++ b/src/fleet/settings.hpp
@@ -27,7 +27,7 @@
   std::string fleet;                                  // name; 1 to lease::kNameMost bytes
   std::uint32_t members = 1;                          // expected; a member's count until it has joined
   std::chrono::milliseconds heartbeatInterval{1000};  // between a member's heartbeats
-  // With no coordinator heard of for so long a member is isolated; at least three heartbeats.
+  // A member that has had no answer from a leader for this long is isolated. At least three heartbeats.
   std::chrono::milliseconds isolatedAfter{3000};
   // A new leader waits so long for members to join before it grants.
   std::chrono::milliseconds leaderSettleTime{1000};
--- a/src/lease/fencing_gate.hpp
+++ b/src/lease/fencing_gate.hpp
@@ -32,8 +32,8 @@
     Epoch epoch = 0;        // the highest that is known
     Sequence sequence = 0;  // the highest of that epoch
     Member holder;          // who sent the last command; no name: known from the coordinators only
-    // For the next process: what the last command did ended with this one, so that command is due once more,
-    // and none before it.
+    // The mark to start from when the last command may have had no effect here (after a restart or a late
+    // join): that command is admitted once more, and none before it.
     FencingMark withoutLastCommand() const { return {epoch, sequence > 0 ? sequence - 1 : 0, holder}; }
     bool operator==(const FencingMark&) const = default;
   };
--- a/src/lease/lease_table.hpp
+++ b/src/lease/lease_table.hpp
@@ -3,9 +3,8 @@
 //
 // What it promises, whatever is applied (checked by LeaseTableInvariants):
 //  - a key has at most one holder, and its epoch grows with each grant;
-//  - nobody else is granted a key before the log's time has reached the end of its lease, unless its holder
-//  gave it
-//    back;
+//  - no other member is granted a key before the log's time has reached the end of its lease, unless the
+//    holder released it;
 //  - a renewal counts only for the epoch in force and the process that was granted it.
 #pragma once
 
--- a/src/lease/lease_table_state.hpp
+++ b/src/lease/lease_table_state.hpp
@@ -33,8 +33,8 @@
   Member holder;        // granted under this epoch; no name: it gave the key back
   LogTime grantedAt{};  // of this epoch
   LogTime expiresAt{};  // end of the lease, later than grantedAt; without a holder the log's begin
-  LeaseChangeReason reason =
-      LeaseChangeReason::vacant;  // how the lease before ended; without a holder, this one
+  // How the lease under the previous epoch ended; once the key is given back, how this one did.
+  LeaseChangeReason reason = LeaseChangeReason::vacant;
   Sequence sequence = 0;  // of the last command that the holder had sent when it renewed; 0: none is known
   bool operator==(const LeaseRecord&) const = default;
 
--- a/src/membership/endpoint_health.cpp
+++ b/src/membership/endpoint_health.cpp
@@ -78,7 +78,7 @@
 void EndpointHealth::onAttemptStarted(EndpointId endpoint, policy::RequestId request, std::uint32_t attempt) {
   EndpointRecord* record = findKnown(endpoint);
   if (!record || record->reachability.reported != Reachability::probeOnly) return;
-  record->reachability.reported = Reachability::unreachable;  // as the decision module does when it sends
+  record->reachability.reported = Reachability::unreachable;  // as the load balancer does when it sends
   record->reachability.probes.pending = AttemptId{request, attempt};
 }
 
--- a/src/membership/endpoint_health.hpp
+++ b/src/membership/endpoint_health.hpp
@@ -1,8 +1,8 @@
 // What is known of each endpoint, and the status that follows. Three sources speak of an endpoint: the list,
 // the connections to it, and the outcomes of attempts. Each is recorded by itself; the status and its reason
-// are derived from all, and decide whether the decision module may send there (policy::Reachability).
+// are derived from all, and decide whether the load balancer may send there (policy::Reachability).
 //
-// This does no I/O, reads no clock, and decides nothing that the decision module decides: it only excludes
+// This does no I/O, reads no clock, and decides nothing that the load balancer decides: it only excludes
 // endpoints that can't be reached, and lets one request at a time probe whether they are back.
 //
 // The list may be late, so it is one source beside the others:
@@ -28,7 +28,7 @@
  public:
   using Settings = EndpointHealthSettings;
 
-  // For the decision module: whether it may send to an endpoint from now on.
+  // For the load balancer: whether it may send to an endpoint from now on.
   struct ReachabilityChange {
     policy::EndpointId endpoint = policy::kNone;
     policy::Reachability reachability = policy::Reachability::reachable;
@@ -40,7 +40,7 @@
     policy::Duration unreachableFor{};
   };
 
-  // An entry of the list, by the decision module's number for its endpoint.
+  // An entry of the list, by the load balancer's id of its endpoint.
   struct ListedEndpoint {
     policy::EndpointId endpoint = policy::kNone;  // none: removed, and so not numbered any more
     policy::EndpointState state = policy::EndpointState::active;
@@ -58,7 +58,7 @@
               const std::vector<ListedEndpoint>& endpoints);
   // The list has given the endpoint another address.
   void onAddressChanged(policy::Timestamp now, policy::EndpointId endpoint);
-  // So many connections to it are established; called at each change.
+  // `open`: connections to it that are established (not those being opened); called at each change.
   void onConnections(policy::Timestamp now, policy::EndpointId endpoint, std::uint32_t open);
   void onAttemptStarted(policy::EndpointId endpoint, policy::RequestId request, std::uint32_t attempt);
   void onAttemptEnded(policy::Timestamp now, const policy::AttemptResult& result);
--- a/src/membership/endpoint_record.hpp
+++ b/src/membership/endpoint_record.hpp
@@ -64,8 +64,8 @@
   policy::Timestamp since{};                                    // when it last became unreachable
   // Its process started after this, since a connection was refused then and accepted later.
   policy::Timestamp startedAfter{};
-  // As the decision module was last notified, or has changed it itself: a probe that it sends ends
-  // `probeOnly`.
+  // As last reported to the load balancer, which itself changes `probeOnly` to `unreachable` when it sends
+  // the probe.
   policy::Reachability reported = policy::Reachability::reachable;
   ProbeRecord probes;  // meaningful while unreachable
 };
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -19,17 +19,17 @@
 // earlier.
 constexpr double kUnsureRange = 0.5;    // of the limit
 constexpr double kUnsureEarlier = 0.1;  // of the limit
-// Endpoints that were once overloaded stay slow for long, and "overloaded" is the first that is heard of it:
-// so many times the share of such answers is taken off the limit, up to a half.
+// The outcome `overloaded` is the first sign of an overload, and endpoints stay slow for long after one. So
+// the limit is reduced by kOverloadEase times the share of such outcomes, by kOverloadEaseMost at most.
 constexpr double kOverloadEase = 4;
 constexpr double kOverloadEaseMost = 0.5;
-// In flight to an endpoint by all gateways together, in place of what was not measured: at this gateway's
-// start, which may come in an overload,
+// Attempts in flight to one endpoint, of all gateways together, that the limit allows during the first
+// kInitialUpdates updates after this gateway's start, when nothing has been measured.
 constexpr double kInitialPerEndpoint = 6;
-// and at least, later on. After a burst nearly all is rejected and endpoints stand idle: a limit that
-// followed the few answers would never grow back. A few cores' work.
+// The same after that: the limit never falls below this. After a burst nearly everything is rejected and
+// endpoints are idle; a limit that followed the few answers would never grow back.
 constexpr double kLeastPerEndpoint = 4;
-constexpr int kInitialUpdates = 10;  // how long the start lasts
+constexpr int kInitialUpdates = 10;  // of kUpdateInterval each
 // Per update: forgotten in some minutes. When all endpoints slow down together, a limit that followed the
 // sinking rate would idle them; what an endpoint had in flight while nothing was rejected stays allowed.
 constexpr double kBaselineDecay = 0.001;
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -8,11 +8,10 @@
 namespace cairnjunction::policy {
 
 // The cutoff is 100 x^3, where x, from 0 to 1, is the larger of two overloads of the pool:
-// - in flight: attempts in flight against the most at which answers still come in time. By Little's law the
-// mean time
-//   in flight is the number in flight by the rate of answers, so the pool carries rate times objective at
-//   most;
-// - errors: the share of attempts that failed or were turned away.
+// - in-flight overload: attempts in flight as a share of the in-flight limit, the most with which answers
+//   still come in time. By Little's law the mean time in flight is the number in flight divided by the rate
+//   of answers; so the limit is proportional to the rate of answers times the latency objective;
+// - error overload: the share of attempts that failed or were answered as overloaded.
 // Either is zero up to its threshold.
 class AdmissionController {
  public:
@@ -30,8 +29,9 @@
   void recordArrival(Timestamp now);
   // An attempt has had an outcome that says something of the pool.
   void recordOutcome() { outcomes_ += 1; }
-  // Besides, an endpoint that does not do so all the time has turned an attempt away. `weight`: the
-  // endpoint's success weight for the class.
+  // That outcome was `overloaded`; to be called beside recordOutcome, but not for an endpoint that has been
+  // overloaded for long (OutlierDetector::isOverloadedForLong). `weight`: the endpoint's success weight for
+  // the class.
   void recordOverload(double weight) { overloads_ += weight; }
   // To be called once every kUpdateInterval, after the rates' own update.
   void update(Timestamp now);
--- a/src/policy/class_state.hpp
+++ b/src/policy/class_state.hpp
@@ -9,12 +9,12 @@
 
 namespace cairnjunction::policy {
 
-// Tells from the time that a request has left how much of the client's total wait was spent on earlier tries.
-// Clients give first tries the same time, and later ones what is left of their total wait; so the times of
-// first tries lie in one place and those of later ones scatter, and the usual time is where most lie. A
-// median would fail: once later tries are the more, first ones would look unusual, be rejected as late and be
-// sent again, and the overload would keep itself up. Clients that give many different times would mislead
-// this.
+// Estimates, from the time that a request has left, how much of its total wait the client has spent on
+// earlier tries. It assumes that all first tries of a class have the same time left, and later tries what
+// remains of the total wait: so first tries share one value (the mode, `usualTime`), and later ones scatter.
+// A median would fail: once later tries outnumber first ones, first tries would look late, be
+// rejected and be sent again, and the overload would sustain itself. Clients whose timeouts differ widely
+// break the assumption.
 class ClientTimeModel {
  public:
   // Notes a request's remaining time and returns what its client has spent before; zero for a first try.
--- a/src/policy/connect_backoff.hpp
+++ b/src/policy/connect_backoff.hpp
@@ -10,8 +10,8 @@
 // gateway is out of descriptors. Open connections outlive the trouble of new ones and are used on.
 class ConnectBackoff {
  public:
-  // A connection to the endpoint could not be opened: it rests for 1 s, doubled with each failure on end,
-  // half to one and a half of that as drawn.
+  // A connection to the endpoint could not be opened. No new one is opened for 1 s, doubled with each failure
+  // in a row up to 8 s, times a random factor from 0.5 to 1.5.
   static void recordFailure(Endpoint& endpoint, Timestamp now, Random& random);
   // This gateway had no descriptor left.
   void recordNoDescriptor(Timestamp now);
--- a/src/policy/connection_age.cpp
+++ b/src/policy/connection_age.cpp
@@ -56,8 +56,8 @@
   const bool arrived =
       outcome == Outcome::served || outcome == Outcome::error || outcome == Outcome::overloaded;
   if (!lost && !arrived) return;
-  // A longer wait is no safer than one that lost an attempt, and a shorter one no worse than one that did
-  // not.
+  // Keeps lostShare_ rising with the idle time: a loss counts for all longer idle times too, and an arrival
+  // for all shorter ones. A loss on a connection that was new or in use says nothing about idle ones.
   const std::size_t first = lost ? idleStep : 0;
   const std::size_t end = lost && idleStep > 0 ? kIdleSteps : idleStep + 1;
   for (std::size_t i = first; i < end; ++i) lostShare_[i] += kLostGain * ((lost ? 1 : 0) - lostShare_[i]);
--- a/src/policy/endpoint_list_poller.cpp
+++ b/src/policy/endpoint_list_poller.cpp
@@ -7,7 +7,7 @@
 namespace cairnjunction::policy {
 namespace {
 
-constexpr Duration kPollBackoff = std::chrono::milliseconds(500);  // doubled with each failure on end,
+constexpr Duration kPollBackoff = std::chrono::milliseconds(500);  // doubled with each failure in a row,
 constexpr int kPollBackoffDoublings = 4;                           // up to so often
 
 }  // namespace
--- a/src/policy/endpoint_list_poller.hpp
+++ b/src/policy/endpoint_list_poller.hpp
@@ -26,7 +26,7 @@
   bool answered_ = false;  // the poll has brought a list
   Timestamp polledAt_{};
   Timestamp pollAgainAt_{};
-  int failures_ = 0;  // on end, up to kPollBackoffDoublings
+  int failures_ = 0;  // in a row, up to kPollBackoffDoublings
 };
 
 }  // namespace cairnjunction::policy
--- a/src/policy/endpoint_record.hpp
+++ b/src/policy/endpoint_record.hpp
@@ -20,9 +20,9 @@
 // Of OutlierDetector.
 struct OutlierRecord {
   EjectionState state = EjectionState::healthy;
-  Timestamp restUntil{};  // after several overloads on end: nothing is sent before
+  Timestamp restUntil{};  // after several overloads in a row: nothing is sent before
   Timestamp ejectedUntil{};
-  int ejections = 0;                      // on end, up to kEjectionDoublings
+  int ejections = 0;                      // in a row, up to kEjectionDoublings
   double failureRate = 0;                 // share of failed attempts, over about the last eight
   std::vector<double> classFailureRates;  // the same by class index, over about the last four
   double outcomes = 0;                    // decayed count of attempts that ran
@@ -49,7 +49,7 @@
   bool reported = false;  // `open` comes from the embedding program, and is exact
   Timestamp lastUsedAt{};
   Timestamp connectAfter{};  // no new connection is opened before
-  int connectFailures = 0;   // on end, up to kConnectDoublings
+  int connectFailures = 0;   // in a row, up to kConnectDoublings
 };
 
 // Of SlowStart.
@@ -60,8 +60,8 @@
 
 // Of LoadReports.
 struct LoadRecord {
-  double load = 1;            // one and what it holds a core, as last reported
-  double selectionShare = 1;  // of its draws that it keeps; 0.05 to 1
+  double load = 1;            // 1 + requests per core, as last reported
+  double selectionShare = 1;  // factor on its chance of being picked; 0.05 to 1
 };
 
 // In the order in which picks read it: a pick looks at every endpoint of the subset.
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -1,25 +1,30 @@
 // The public face of the decisions. Each event sets the clock, goes through the objects concerned in the
 // order below, and ends alike. The order matters: it is that of the random draws and of the actions.
 //
-// on request:   RequestTable, ClassTable (cost, time spent on earlier tries) -> TrafficRates, RetryBudget ->
-//               TenantQuota, PriorityScorer -> AdmissionController -> rejected, queued by KeySerializer, or
-//               sent
-// to send:      RetryPolicy (deadline, attempts left) -> EndpointPicker (asks RetryPolicy, SlowStart,
-// ConnectBackoff,
-//               ConnectionAgeTracker, OutlierDetector) -> SlowStart, ConnectionAgeTracker,
-//               ResponsivenessMonitor note the send; HedgingPolicy sets a timer beside a first attempt
-// on result:    by outcome ResponsivenessMonitor, LatencyTracker, TrafficRates, AdmissionController,
-// ConnectBackoff ->
-//               OutlierDetector -> ConnectionAgeTracker -> KeySerializer (cooldown) -> the request ends, is
-//               sent again (RetryPolicy, RetryBudget), or is rejected or failed (RetryPolicy)
-// on wake:      the timers that are due; then, once every kUpdateInterval, the statistics:
-// ConnectionAgeTracker,
-//               LatencyTracker, ResponsivenessMonitor, LoadReports, OutlierDetector, SlowStart,
-//               PriorityScorer, KeySerializer, TrafficRates, ClassTable, AdmissionController
-// on endpoints: EndpointListPoller -> EndpointTable, LoadReports; what was learned of an endpoint's old
-// process is reset each event ends with: KeySerializer (heads of queues that became free are sent) ->
-// EndpointListPoller -> TimerQueue
-//               (the next wake-up)
+// On a request:
+//  - RequestTable, ClassTable (cost, time spent on earlier tries), TrafficRates, RetryBudget;
+//  - TenantQuota, PriorityScorer, AdmissionController;
+//  - the request is rejected, queued by KeySerializer, or sent.
+// To send an attempt:
+//  - RetryPolicy (deadline, attempts left), AdmissionController (whether it is calm);
+//  - EndpointPicker, with RetryPolicy, SlowStart, ConnectBackoff, ConnectionAgeTracker and OutlierDetector;
+//  - SlowStart, ConnectionAgeTracker and ResponsivenessMonitor note the send;
+//  - HedgingPolicy sets a timer beside a first attempt.
+// On a result:
+//  - by outcome ResponsivenessMonitor, LatencyTracker, TrafficRates, AdmissionController, ConnectBackoff;
+//  - OutlierDetector, ConnectionAgeTracker, KeySerializer (cooldown);
+//  - the request ends, is sent again (RetryPolicy, RetryBudget), or is rejected or failed (RetryPolicy).
+// On a wake:
+//  - the timers that are due;
+//  - once every kUpdateInterval the statistics: ConnectionAgeTracker, LatencyTracker, ResponsivenessMonitor,
+//    LoadReports, OutlierDetector, SlowStart, PriorityScorer, KeySerializer, TrafficRates, ClassTable,
+//    AdmissionController.
+// On an endpoint list:
+//  - EndpointListPoller, EndpointTable, LoadReports;
+//  - what was learned of an endpoint's previous process is reset.
+// At the end of every event:
+//  - KeySerializer (heads of queues that became free are sent), EndpointListPoller;
+//  - TimerQueue (the next wake-up).
 #include "cairnjunction/load_balancer.hpp"
 
 #include <stdexcept>
--- a/src/policy/load_balancer_impl.cpp
+++ b/src/policy/load_balancer_impl.cpp
@@ -178,7 +178,8 @@
   classes_.recordArrival(request.classIndex, request.costRatio);
 }
 
-// Of what the request can still earn.
+// The class's priority weight, reduced if the request is late already or its tenant is over quota. Charges
+// the request to the tenant's quota, so it must be called once for each request.
 double LoadBalancer::Impl::priorityWeight(const ActiveRequest& request, std::uint32_t tenantIndex) {
   const ClassSettings& settings = classes_[request.classIndex].settings();
   double weight = settings.priorityWeight;
@@ -201,7 +202,7 @@
   keys_.markChanged(*request.key);
 }
 
-// Sends the first attempt.
+// Sends the first attempt and sets the timer for a hedge; if none can be sent, rejects or fails the request.
 void LoadBalancer::Impl::dispatch(ActiveRequest& request) {
   if (!trySend(request)) return rejectOrFail(request);
   if (const auto delay = hedging_.delay(request, classes_[request.classIndex]))
@@ -276,7 +277,7 @@
     actions_.fail(request.id);
     return end(request);
   }
-  // What never came to an endpoint costs the pool nothing: the budget is not for it.
+  // An attempt that never reached an endpoint cost the pool nothing: its retry is not charged to the budget.
   const bool neverArrived =
       result.outcome == Outcome::connectFailed && result.failureReason != FailureReason::unknown;
   const bool mayRetry = result.outcome != Outcome::notSent && (neverArrived || retryBudget_.allowsRetry());
@@ -378,8 +379,8 @@
   outliers_.recordOutcome(endpoint, request.classIndex, result, now_);
 }
 
-// Whether the endpoint was not reached for a known reason that says nothing of how it does its work. Such an
-// attempt never ran, and neither the endpoint's records nor the error rate take it in.
+// True if the attempt never ran, for a known reason that says nothing of how the endpoint serves. It then
+// counts neither in the endpoint's statistics nor in the error rate: only the connect backoff is updated.
 bool LoadBalancer::Impl::recordLocalFailure(Endpoint& endpoint, const AttemptResult& result) {
   if (result.outcome != Outcome::connectFailed || result.failureReason == FailureReason::unknown ||
       result.failureReason == FailureReason::connectTimeout)
--- a/src/policy/load_balancer_impl.hpp
+++ b/src/policy/load_balancer_impl.hpp
@@ -61,6 +61,7 @@
   void scheduleWake();
 
   // The life of a request.
+  // Fills in the request from its arrival, and counts it in its class's statistics.
   void describe(ActiveRequest& request, const Request& arrival);
   double priorityWeight(const ActiveRequest& request, std::uint32_t tenantIndex);
   void enqueueByKey(ActiveRequest& request);
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -10,13 +10,13 @@
 
 constexpr int kOverloadsOnEnd = 3;  // this many are no short peak: the endpoint rests
 constexpr Duration kOverloadRest = std::chrono::milliseconds(100);  // a few answer times without load
-constexpr double kFailureGain = 0.12;          // per outcome: five failures on end make one half
+constexpr double kFailureGain = 0.12;          // per outcome: five failures in a row make one half
 constexpr double kEjectFailureRate = 0.45;     // ejects,
 constexpr double kEjectOverPeers = 2.5;        // if it is also so many times that of the better quarter
-constexpr double kWellFailureRate = 0.05;      // below it, ejections on end are forgotten after a while
-constexpr double kClassAtEndpointGain = 0.25;  // per outcome of a class: three failures on end make a half
+constexpr double kWellFailureRate = 0.05;      // below it, ejections in a row are forgotten after a while
+constexpr double kClassAtEndpointGain = 0.25;  // per outcome of a class: three failures in a row make a half
 constexpr double kEjectedShareMost = 0.5;      // of the reachable endpoints
-constexpr Duration kEjection = std::chrono::seconds(1);  // doubled with each ejection on end,
+constexpr Duration kEjection = std::chrono::seconds(1);  // doubled with each ejection in a row,
 constexpr int kEjectionDoublings = 3;                    // up to so often
 
 bool isFailure(Outcome outcome) {
--- a/src/policy/outlier_detection.hpp
+++ b/src/policy/outlier_detection.hpp
@@ -24,7 +24,7 @@
   // own.
   void recordOutcome(Endpoint& endpoint, std::uint32_t classIndex, const AttemptResult& result,
                      Timestamp now);
-  // Turned away so often on end that this is trouble of its own, and no sign of the pool's load.
+  // It answered `overloaded` so often in a row that this is a fault of its own, no sign of the pool's load.
   static bool isOverloadedForLong(const Endpoint& endpoint);
 
   // Part of its draws that an endpoint keeps for a class: from 1 down as it fails the class more than its
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -11,7 +11,7 @@
 // past their start are overloaded, and by their sinking rates the started ones, which could help, would be
 // sent nothing.
 constexpr double kProvenDecay = 0.997;
-constexpr double kCollapseMargin = 0.45;  // load in slow start, as a part of the multiple that breaks it down
+constexpr double kCollapseMargin = 0.45;  // share of collapseLoadFactor that all gateways together may send
 
 }  // namespace
 
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -9,10 +9,12 @@
 
 namespace cairnjunction::policy {
 
-// An endpoint starts with part of its capacity and breaks down when all gateways together send it a multiple
-// of that. Each gateway keeps to its own part by a token bucket: the started share of what it has endpoints
-// of the same machine kind carry, in every window, with rejected attempts counted. This may be a small part
-// of a request; a floor of one, times hundreds of gateways, would be a flood.
+// An endpoint starts with a fraction of its capacity and collapses when all gateways together send it a
+// multiple of that (Settings::collapseLoadFactor). So each gateway limits its own part by a token bucket for
+// the endpoint. It fills at the rate at which endpoints of the same machine kind past their slow start answer
+// this gateway, times the capacity fraction, times a safe share of the collapse load factor. Each attempt
+// spends a token, rejected ones too. The rate may be far below one attempt in a collapse window: a floor of
+// one attempt, times hundreds of gateways, would overload the endpoint.
 class SlowStart {
  public:
   // Both must outlive this object.
