--- a/tests/jsonrpc/upstream_test.cpp
+++ b/tests/jsonrpc/upstream_test.cpp
@@ -69,12 +69,12 @@
   EXPECT_EQ(worker.connections.size(), 3u);
 }
 
-struct WorkerAnswer {
+struct Answer {
   const char* name;
   std::function<void(Lines&, const json&)> says;
   Outcome first, second;  // of the call that it is done to, and of another that is open beside it
 };
-class WorkerAnswers : public UpstreamTest, public ::testing::WithParamInterface<WorkerAnswer> {};
+class WorkerAnswers : public UpstreamTest, public ::testing::WithParamInterface<Answer> {};
 
 TEST_P(WorkerAnswers, EndCallsAsTheTableSays) {
   std::shared_ptr<Lines> from;
@@ -99,52 +99,66 @@
 
 INSTANTIATE_TEST_SUITE_P(
     All, WorkerAnswers,
-    ::testing::Values(
-        WorkerAnswer{"Application", [](Lines& l, const json& id) { l.say(error(id, 12)); }, Outcome::served, Outcome::served},
-        WorkerAnswer{"Internal", [](Lines& l, const json& id) { l.say(error(id, -32603)); }, Outcome::error, Outcome::served},
-        WorkerAnswer{"Server", [](Lines& l, const json& id) { l.say(error(id, -32050)); }, Outcome::error, Outcome::served},
-        WorkerAnswer{"NotRun", [](Lines& l, const json& id) { l.say(error(id, -32050, {{"not_run", true}})); },
-              Outcome::overloaded, Outcome::served},
-        WorkerAnswer{"NotRunOfAnotherCode",
-              [](Lines& l, const json& id) { l.say(error(id, -32603, {{"not_run", true}})); },
-              Outcome::error, Outcome::served},
-        WorkerAnswer{"NoMethod", [](Lines& l, const json& id) { l.say(error(id, -32601)); }, Outcome::invalidRequest,
-              Outcome::served},
-        WorkerAnswer{"BadParams", [](Lines& l, const json& id) { l.say(error(id, -32602)); }, Outcome::invalidRequest,
-              Outcome::served},
-        WorkerAnswer{"UnknownId", [](Lines& l, const json&) { l.say(result(77, 1)); }, Outcome::reset, Outcome::reset},
-        WorkerAnswer{"StringId", [](Lines& l, const json& id) { l.say(result(id.dump(), 1)); }, Outcome::reset,
-              Outcome::reset},
-        WorkerAnswer{"NullId", [](Lines& l, const json&) { l.say(result(nullptr, 1)); }, Outcome::reset, Outcome::reset},
-        WorkerAnswer{"Twice",
-              [](Lines& l, const json& id) {
-                l.say(result(id, 1));
-                l.say(result(id, 1));
-              },
-              Outcome::served, Outcome::reset},
-        WorkerAnswer{"Noise", [](Lines& l, const json&) { l.send("{]\n"); }, Outcome::reset, Outcome::reset},
-        WorkerAnswer{"Batch", [](Lines& l, const json& id) { l.say(json::array({result(id, 1)})); }, Outcome::reset,
-              Outcome::reset},
-        WorkerAnswer{"Both",
-              [](Lines& l, const json& id) {
-                json both = result(id, 1);
-                both["error"] = {{"code", 1}};
-                l.say(both);
-              },
-              Outcome::reset, Outcome::reset},
-        WorkerAnswer{"Large",
-              [](Lines& l, const json& id) { l.say(result(id, std::string(100000, 'x'))); }, Outcome::reset,
-              Outcome::reset},
-        WorkerAnswer{"WithoutEnd", [](Lines& l, const json&) { l.send(std::string(100000, ' ')); }, Outcome::reset,
-              Outcome::reset},
-        WorkerAnswer{"Close", [](Lines& l, const json&) { l.close(); }, Outcome::reset, Outcome::reset},
-        WorkerAnswer{"Reset", [](Lines& l, const json&) { l.reset(); }, Outcome::reset, Outcome::reset},
-        WorkerAnswer{"Half",
-              [](Lines& l, const json& id) {
-                l.send("{\"jsonrpc\":\"2.0\",\"id\":" + id.dump() + ",\"result\":");
-                l.reset();
-              },
-              Outcome::reset, Outcome::reset}),
+    ::
+        testing::Values(Answer{"Application", [](Lines& l, const json& id) { l.say(error(id, 12)); },
+                               Outcome::served, Outcome::served},
+                        Answer{"Internal", [](Lines& l, const json& id) { l.say(error(id, -32603)); },
+                               Outcome::error, Outcome::served},
+                        Answer{"Server", [](Lines& l, const json& id) { l.say(error(id, -32050)); },
+                               Outcome::error, Outcome::served},
+                        Answer{"NotRun",
+                               [](Lines& l, const json& id) {
+                                 l.say(error(id, -32050, {{"not_run", true}}));
+                               },
+                               Outcome::overloaded, Outcome::served},
+                        Answer{"NotRunOfAnotherCode",
+                               [](Lines& l, const json& id) {
+                                 l.say(error(id, -32603, {{"not_run", true}}));
+                               },
+                               Outcome::error, Outcome::served},
+                        Answer{"NoMethod", [](Lines& l, const json& id) { l.say(error(id, -32601)); },
+                               Outcome::invalidRequest, Outcome::served},
+                        Answer{"BadParams", [](Lines& l, const json& id) { l.say(error(id, -32602)); },
+                               Outcome::invalidRequest, Outcome::served},
+                        Answer{"UnknownId", [](Lines& l, const json&) { l.say(result(77, 1)); },
+                               Outcome::reset, Outcome::reset},
+                        Answer{"StringId", [](Lines& l, const json& id) { l.say(result(id.dump(), 1)); },
+                               Outcome::reset, Outcome::reset},
+                        Answer{"NullId", [](Lines& l, const json&) { l.say(result(nullptr, 1)); },
+                               Outcome::reset, Outcome::reset},
+                        Answer{"Twice",
+                               [](Lines& l, const json& id) {
+                                 l.say(result(id, 1));
+                                 l.say(result(id, 1));
+                               },
+                               Outcome::served, Outcome::reset},
+                        Answer{"Noise", [](Lines& l, const json&) { l.send("{]\n"); }, Outcome::reset,
+                               Outcome::reset},
+                        Answer{"Batch", [](Lines& l, const json& id) { l.say(json::array({result(id, 1)})); },
+                               Outcome::reset, Outcome::reset},
+                        Answer{"Both",
+                               [](Lines& l, const json& id) {
+                                 json both = result(id, 1);
+                                 both["error"] = {{"code", 1}};
+                                 l.say(both);
+                               },
+                               Outcome::reset, Outcome::reset},
+                        Answer{"Large",
+                               [](Lines& l, const json& id) { l.say(result(id, std::string(100000, 'x'))); },
+                               Outcome::reset, Outcome::reset},
+                        Answer{"WithoutEnd", [](Lines& l, const json&) { l.send(std::string(100000, ' ')); },
+                               Outcome::reset, Outcome::reset},
+                        Answer{"Close", [](Lines& l, const json&) { l.close(); },
+                               Outcome::reset, Outcome::reset},
+                        Answer{"Reset", [](Lines& l, const json&) { l.reset(); },
+                               Outcome::reset, Outcome::reset},
+                        Answer{
+                            "Half",
+                            [](Lines& l, const json& id) {
+                              l.send("{\"jsonrpc\":\"2.0\",\"id\":" + id.dump() + ",\"result\":");
+                              l.reset();
+                            },
+                            Outcome::reset, Outcome::reset}),
     [](const auto& info) { return info.param.name; });
 
 // Nobody listens at the worker's address.
