--- a/src/lease/lease.hpp
+++ b/src/lease/lease.hpp
@@ -51,6 +51,7 @@
   Epoch epoch = 0;        // under which the sender holds the key
   Sequence sequence = 0;  // within the epoch
   Member holder;          // the sender
+  // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 finds it in a defaulted <=>
   auto operator<=>(const FencingToken&) const = default;
 };
 
