--- a/include/cairnjunction/attempt.hpp
+++ b/include/cairnjunction/attempt.hpp
@@ -1,4 +1,4 @@
-// Attempts: how each sending of a request to an endpoint ended.
+// Results of attempts: the outcome of each attempt that was sent to an endpoint.
 #pragma once
 
 #include <cstdint>
@@ -10,47 +10,49 @@
 namespace cairnjunction::policy {
 
 enum class Outcome : std::uint8_t {
-  served,
-  error,          // may have run
-  overloaded,     // turned away by the endpoint; never ran
-  timeout,        // may have run
-  connectFailed,  // never ran
-  reset,          // may have run
-  cancelled,      // may have run
-  notSent,        // never ran: the gateway itself did not send it
-  invalidRequest  // the endpoint found fault with the request itself; may have run
+  served,         // the endpoint served the request
+  error,          // the endpoint answered with an error or a malformed response; may have been executed
+  overloaded,     // rejected by the endpoint as overloaded; not executed
+  timeout,        // no answer within the time limit; may have been executed
+  connectFailed,  // the request was not completely written to a connection; not executed
+  reset,          // the connection broke after the request was written; may have been executed
+  cancelled,      // cancelled before its result was known; may have been executed
+  notSent,        // the gateway itself did not send it; not executed
+  invalidRequest  // the endpoint rejected the request as invalid; may have been executed
 };
 
-// Why an attempt ended with its outcome, where the program that carried it out knows.
+// Cause of an outcome, where the embedding program knows it.
 enum class FailureReason : std::uint8_t {
   unknown,
   connectionRefused,    // connectFailed: refused, or another error of the machine or the network (no route)
-  connectTimeout,       // connectFailed: the new connection did not come up in the time for it
-  attemptTimeout,       // connectFailed: the attempt's own time ended before that
+  connectTimeout,       // connectFailed: the new connection was not established within the connect timeout
+  attemptTimeout,       // connectFailed: the attempt's time limit expired before the connect timeout
   noDescriptor,         // connectFailed: the gateway itself had no descriptor, local port or memory left
   brokenWhileWriting,   // connectFailed: the connection broke before the last byte was written
-  cancelledBeforeSend,  // connectFailed: taken back unwritten: the list drained, removed or moved the
-                        // endpoint, or the client left
-  malformedResponse     // error, reset: what came is no response that can be read
+  cancelledBeforeSend,  // connectFailed: cancelled before any byte was written: the list drained, removed
+                        // or moved the endpoint, or the client disconnected
+  malformedResponse     // error, reset: the response could not be parsed
 };
 
+// Which connection an attempt used.
 enum class ConnectionUse : std::uint8_t {
   unknown,
-  none,    // there was no connection
-  opened,  // opened for this attempt
-  reused   // opened before
+  none,    // no connection
+  opened,  // one opened for this attempt
+  reused   // one opened earlier
 };
 
+// Result of an attempt, for LoadBalancer::onResult.
 struct AttemptResult {
-  RequestId request = 0;
-  std::uint32_t attempt = 0;    // its number, as in ActionKind::send
+  RequestId request = 0;        // as in ActionKind::send
+  std::uint32_t attempt = 0;    // as in ActionKind::send
   EndpointId endpoint = kNone;  // as in ActionKind::send
   Outcome outcome = Outcome::served;
-  Duration elapsed{};        // since it was sent
-  bool endsRequest = false;  // the client was answered or has disconnected: no retry, no further answer
+  Duration elapsed{};        // since the attempt was sent
+  bool endsRequest = false;  // the client was answered or has disconnected: no retry or answer follows
   FailureReason failureReason = FailureReason::unknown;
   ConnectionUse connectionUse = ConnectionUse::unknown;
-  bool connectionKept = false;  // the connection stays open; set by those who know connectionUse
+  bool connectionKept = false;  // the connection stays open; set only together with connectionUse
 };
 
 }  // namespace cairnjunction::policy
--- a/include/cairnjunction/endpoint.hpp
+++ b/include/cairnjunction/endpoint.hpp
@@ -1,4 +1,4 @@
-// Endpoints, as discovery lists them and as the embedding program finds them.
+// Endpoints, as listed by discovery and as the embedding program can reach them.
 #pragma once
 
 #include <climits>
@@ -9,44 +9,44 @@
 
 namespace cairnjunction::policy {
 
-// Given out by the LoadBalancer at first sight of an address. It is given out again after
-// ActionKind::forgetEndpoint, and not before.
+// Assigned by the LoadBalancer when an address is first listed. An id is reused only after
+// ActionKind::forgetEndpoint.
 using EndpointId = std::uint32_t;
 
-// No endpoint, class, tenant or limit.
+// Stands for no endpoint, no class, no tenant or no limit.
 inline constexpr std::uint32_t kNone = UINT32_MAX;
 
 enum class EndpointState : std::uint8_t {
-  active,    // may be sent attempts
-  draining,  // is sent no new ones
-  removed    // the same; its id is forgotten once no open request names it
+  active,    // receives attempts
+  draining,  // receives no new attempts
+  removed    // receives no new attempts; its id is released once no open request refers to it
 };
 
 // One entry of an endpoint list.
 struct EndpointInfo {
-  std::string address;  // names the endpoint; not empty
+  std::string address;  // identifies the endpoint; not empty
   std::string zone;
-  std::string machineKind;  // endpoints of one kind are taken to have the same capacity
-  std::int64_t cell = 0;    // endpoints of one cell and zone drop repeats together, see DedupScope
+  std::string machineKind;  // endpoints of one kind are assumed to have the same capacity
+  std::int64_t cell = 0;    // endpoints of one cell and zone share deduplication, see DedupScope
   double weight = 1;        // comparable across endpoints; see Settings::loadReports
   EndpointState state = EndpointState::active;
-  Timestamp startedAt{};      // latest start of its process; zero: long past
-  int maxInFlight = INT_MAX;  // attempts of this gateway that may be in flight to it, from 1 on
+  Timestamp startedAt{};      // latest start of its process; zero: long ago
+  int maxInFlight = INT_MAX;  // attempts that this gateway may have in flight to it; at least 1
 };
 
 enum class EndpointListKind : std::uint8_t {
-  update,      // entries that are new or have changed
-  replace,     // the whole list: endpoints that it leaves out are removed
-  restored,    // a whole list from before a restart, which may be stale
-  unavailable  // discovery could not be reached: there are no entries
+  update,      // only entries that are new or have changed
+  replace,     // a complete list: endpoints that are not in it are removed
+  restored,    // a complete list saved before a restart, which may be stale
+  unavailable  // discovery could not be reached: no entries
 };
 
-// Whether connections to an endpoint can be had, as reported by LoadBalancer::onReachability. Endpoints are
-// reachable until reported otherwise.
+// Whether connections to an endpoint can be established, as reported to LoadBalancer::onReachability. An
+// endpoint is reachable until reported otherwise.
 enum class Reachability : std::uint8_t {
   reachable,
-  probeOnly,   // one attempt may be sent, to find out; once it is sent the endpoint is unreachable
-  unreachable  // no connection can be had: nothing is sent, and it is no part of the pool's capacity
+  probeOnly,   // may be sent one attempt as a probe; once that is sent, the endpoint is unreachable
+  unreachable  // receives no attempts and does not count towards the capacity of the pool
 };
 
 }  // namespace cairnjunction::policy
--- a/include/cairnjunction/load_balancer.hpp
+++ b/include/cairnjunction/load_balancer.hpp
@@ -1,9 +1,9 @@
-// The decisions of an HTTP load balancer run as a group of gateways: admission, endpoint choice, retries,
-// hedging.
+// Decisions of an HTTP load balancer that is deployed as a group of gateways: admission, choice of endpoint,
+// retries and hedging.
 //
-// The embedding program feeds a LoadBalancer with events and the time of each, and carries out the actions
-// that come back. The LoadBalancer does no I/O, reads no clock, starts no thread and keeps no globals: the
-// same seed, settings and events give the same actions. It is not thread-safe.
+// The embedding program passes events with their times to a LoadBalancer and carries out the actions that it
+// returns. The LoadBalancer does no I/O, reads no clock, starts no threads and has no global state: the same
+// seed, settings and events give the same actions. It is not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -22,11 +22,12 @@
 
 namespace cairnjunction::policy {
 
-// Events that name an unknown request, attempt or endpoint are ignored; so is a second request under an id
-// that is still open. A request of an unknown class is never repeated and has the lowest priority.
+// Events that refer to an unknown request, attempt or endpoint are ignored, and so is a request whose id is
+// still in use. A request of an unknown class is never retried once it may have been executed, and has the
+// lowest priority.
 class LoadBalancer {
  public:
-  // Throws std::invalid_argument that says which setting makes no sense.
+  // Throws std::invalid_argument, whose text names the invalid setting. `now`: the current time.
   LoadBalancer(Settings settings, Timestamp now);
   ~LoadBalancer();
   LoadBalancer(const LoadBalancer&) = delete;
@@ -34,64 +35,64 @@
   LoadBalancer(LoadBalancer&& other) noexcept;
   LoadBalancer& operator=(LoadBalancer&& other) noexcept;
 
-  // New settings while requests are open. An open request keeps its class's index, so at each index that one
-  // has the class must be as it was; others may be given anew. seed, zone, gatewayIndex, gatewayCount,
-  // pollDiscovery, streamsPerConnection and eventInterval stay as they were at the start. Throws like the
-  // constructor, and then nothing has changed.
+  // Replaces the settings while requests are open. Open requests keep their class index, so the class at
+  // each index in use must stay the same; other indexes may be reassigned. seed, zone, gatewayIndex,
+  // gatewayCount, pollDiscovery, streamsPerConnection and eventInterval keep their initial values. Throws
+  // like the constructor and then changes nothing.
   void configure(Timestamp now, Settings settings);
 
-  // An endpoint list, or news that there is none. The entries are copied.
+  // An endpoint list has arrived, or could not be fetched. The entries are copied.
   void onEndpoints(Timestamp now, EndpointListKind kind, const std::vector<EndpointInfo>& entries);
 
-  // A request has come. It is sent, queued, rejected or failed by actions, and answered exactly once.
+  // A request has arrived. Actions send, reject or fail it, or it is queued; it is answered exactly once.
   void onRequest(Timestamp now, const Request& request);
 
-  // The client has part of this attempt's response: no other attempt can answer it now.
+  // The client has received part of this attempt's response, so no other attempt can answer the request.
   void onResponseStarted(Timestamp now, RequestId request, std::uint32_t attempt);
 
-  // An attempt has ended. The caller must report this once for every ActionKind::send, also when the request
-  // itself is already answered; until then the attempt counts as in flight and the request is kept.
+  // An attempt has ended. Must be called once for every ActionKind::send, even if the request has already
+  // been answered; until then the attempt counts as in flight and the request stays open.
   void onResult(Timestamp now, const AttemptResult& result);
 
-  // The client is gone and needs no answer.
+  // The client has disconnected and needs no answer.
   void onClientDisconnected(Timestamp now, RequestId request);
 
-  // The time of ActionKind::scheduleWake has come; extra calls do no harm.
+  // The time of the last ActionKind::scheduleWake has been reached. Additional calls are harmless.
   void onWake(Timestamp now);
 
-  // The way to an endpoint has changed. `startedAfter`: its process is no older than this, whatever the list
-  // says of its start; zero: not known.
+  // The reachability of an endpoint has changed. `startedAfter`: a lower bound for the start of its process,
+  // which takes precedence over an older start in the list; zero: unknown.
   void onReachability(Timestamp now, EndpointId endpoint, Reachability reachability,
                       Timestamp startedAfter = {});
 
-  // How many connections to the endpoint are open or being opened. Once reported, the count is taken for
-  // exact, and every change is to be reported.
+  // Reports how many connections to the endpoint are open or being opened. From the first report on the count
+  // is treated as exact, so every change must be reported.
   void onConnections(EndpointId endpoint, std::uint32_t open);
 
-  // The actions that events have added since the caller last cleared this vector, in the order in which to
-  // carry them out. Only the caller clears it. Events append to it, so references to its elements do not
-  // survive an event.
+  // The actions that events have appended since the caller last cleared this vector, in the order in which
+  // they must be carried out. Only the caller clears it. Every event may invalidate references to its
+  // elements.
   std::vector<Action>& actions();
 
-  // kNone if no list has named the address, or it was forgotten.
+  // The id of the endpoint with this address; kNone if it was never listed or has been forgotten.
   EndpointId findEndpoint(std::string_view address) const;
 
-  // Empty for one that was forgotten. Throws std::out_of_range for an id that was never given out.
+  // Empty for a forgotten endpoint. Throws std::out_of_range for an id that was never assigned.
   const std::string& address(EndpointId endpoint) const;
 
-  // 0 to 100: requests with a lower priority score are rejected now.
+  // The current cutoff, 0 to 100: requests with a lower priority score are rejected.
   double cutoff() const;
 
-  // Requests that are not answered yet, or have attempts whose result was not reported yet.
+  // Number of requests that are unanswered or have attempts whose result has not been reported.
   std::size_t activeRequests() const;
 
-  // Attempts of this gateway that are in flight to the endpoint, and its open connections: as reported by
+  // Attempts of this gateway in flight to the endpoint, and connections open to it: as reported by
   // onConnections, or an estimate before the first report. 0 for an unknown endpoint.
   std::uint32_t attemptsInFlight(EndpointId endpoint) const;
   std::uint32_t openConnections(EndpointId endpoint) const;
 
-  // Ejected, unresponsive or not reachable: it is sent a probe at most, or what no healthy endpoint can take.
-  // True for an id that was never given out.
+  // Whether the endpoint is ejected, unresponsive or not reachable. It then receives at most a probe, or
+  // attempts for which no healthy endpoint is available. True for an id that was never assigned.
   bool isAvoided(EndpointId endpoint) const;
 
  private:
--- a/include/cairnjunction/request.hpp
+++ b/include/cairnjunction/request.hpp
@@ -8,18 +8,18 @@
 
 namespace cairnjunction::policy {
 
-// Chosen by the caller, never used again.
+// Chosen by the caller; must not be reused.
 using RequestId = std::uint64_t;
 
 struct Request {
   RequestId id = 0;
   std::uint32_t classIndex = kNone;   // into Settings::classes
   std::uint32_t tenantIndex = kNone;  // into Settings::tenants
-  Duration timeRemaining{};           // until the client gives up this try
-  Duration expectedCost{};            // expected work; zero: not known
-  std::uint64_t key = 0;              // for serialization and affinity,
-  bool hasKey = false;                // if it has one
-  std::uint32_t maxAttempts = kNone;  // from 1 on, beside Settings::maxAttempts
+  Duration timeRemaining{};           // until the client times out
+  Duration expectedCost{};            // expected processing time; zero: unknown
+  std::uint64_t key = 0;              // for serialization and key affinity; ignored unless hasKey
+  bool hasKey = false;
+  std::uint32_t maxAttempts = kNone;  // at least 1; applies in addition to Settings::maxAttempts
 };
 
 }  // namespace cairnjunction::policy
--- a/include/cairnjunction/time.hpp
+++ b/include/cairnjunction/time.hpp
@@ -7,10 +7,9 @@
 
 using Duration = std::chrono::nanoseconds;
 
-// The caller's monotonic clock. The load balancer never reads it: each event carries the time at which it
-// happened.
+// The caller's monotonic clock. The load balancer never reads it: each event carries its own time.
 struct MonotonicClock {
-  // NOLINTBEGIN(readability-identifier-naming): the names that the standard library asks of a clock
+  // NOLINTBEGIN(readability-identifier-naming): names required by the standard library for clocks
   using duration = Duration;
   using rep = duration::rep;
   using period = duration::period;
@@ -19,7 +18,8 @@
   // NOLINTEND(readability-identifier-naming)
 };
 
-// Since any fixed start; must never go back. A default one, zero, stands for "never" or "long past".
+// Time since an arbitrary fixed origin; must never decrease. The default value, zero, stands for "never" or
+// "long ago".
 using Timestamp = MonotonicClock::time_point;
 
 }  // namespace cairnjunction::policy
