--- a/include/cairnjunction/settings.hpp
+++ b/include/cairnjunction/settings.hpp
@@ -54,7 +54,7 @@
   std::vector<TenantSettings> tenants;
   double overQuotaWeightFactor =
       0.1;  // factor on the priority weight of requests beyond their tenant's quota; 0 to 1
-  bool pollDiscovery = false;      // endpoint lists arrive only in response to polls
+  bool pollDiscovery = false;      // endpoint lists and updates arrive only after a poll
   bool loadReports = false;        // EndpointInfo::weight is a load report: size / (1 + requests per core)
   bool hedging = false;            // allows a second concurrent attempt
   bool keyAffinity = false;        // endpoints serve a key that they served recently with less work
--- a/src/policy/action_queue.hpp
+++ b/src/policy/action_queue.hpp
@@ -1,4 +1,4 @@
-// The actions that the embedding program is to carry out, in order.
+// Queue of the actions that the embedding program must carry out, in order.
 #pragma once
 
 #include <string>
@@ -8,10 +8,11 @@
 
 namespace cairnjunction::policy {
 
+// Each function except mayLog appends the action of its name, see ActionKind.
 class ActionQueue {
  public:
   void send(RequestId request, std::uint32_t attempt, EndpointId endpoint, Duration timeLimit);
-  // `retryAfter`: zero for none.
+  // `retryAfter`: zero for no Retry-After.
   void reject(RequestId request, Duration retryAfter);
   void fail(RequestId request);
   void cancel(RequestId request, std::uint32_t attempt);
@@ -20,18 +21,18 @@
   void scheduleWake(Timestamp at);
   void pollEndpoints();
 
-  // Logs are limited to one a second: to be asked before a line is put together.
+  // Log lines are limited to one per second: call this before composing a line.
   bool mayLog(Timestamp now) const;
   void log(Timestamp now, std::string text);
 
-  // Those not yet taken out by the embedding program, which clears them.
+  // The actions not yet carried out. The embedding program clears them.
   std::vector<Action>& pending() { return pending_; }
 
  private:
   Action& append(ActionKind kind, RequestId request, EndpointId endpoint);
 
   std::vector<Action> pending_;
-  Timestamp loggedAt_{};  // zero: never
+  Timestamp loggedAt_{};  // time of the last log line; zero: none yet
 };
 
 }  // namespace cairnjunction::policy
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -9,47 +9,50 @@
 namespace cairnjunction::policy {
 namespace {
 
-constexpr double kLimitShareOfObjective =
-    0.45;  // at the limit the mean time in flight has this share of the objective
-constexpr double kInFlightThreshold = 0.5;   // share of the limit up to which nothing is rejected
-constexpr double kInFlightGain = 0.05;       // per arrival: over about the last twenty
-constexpr double kInFlightUpdateGain = 0.5;  // per update: with few arrivals a past burst would linger
-// What one of many gateways has in flight is a small count that swings by its square root, and the cubic
-// would turn the swing into rejections. With little confidence the full cutoff comes later, and its beginning
-// earlier.
-constexpr double kUnsureRange = 0.5;    // of the limit
-constexpr double kUnsureEarlier = 0.1;  // of the limit
-// The outcome `overloaded` is the first sign of an overload, and endpoints stay slow for long after one. So
-// the limit is reduced by kOverloadEase times the share of such outcomes, by kOverloadEaseMost at most.
-constexpr double kOverloadEase = 4;
-constexpr double kOverloadEaseMost = 0.5;
-// Attempts in flight to one endpoint, of all gateways together, that the limit allows during the first
-// kInitialUpdates updates after this gateway's start, when nothing has been measured.
-constexpr double kInitialPerEndpoint = 6;
-// The same after that: the limit never falls below this. After a burst nearly everything is rejected and
-// endpoints are idle; a limit that followed the few answers would never grow back.
-constexpr double kLeastPerEndpoint = 4;
+constexpr double kTimeInFlightPerObjective =
+    0.45;  // mean time in flight at the limit, as a fraction of the objective
+constexpr double kInFlightThreshold = 0.5;  // fraction of the limit up to which nothing is rejected
+constexpr double kInFlightGain = 0.05;      // per arrival: over about the last 20
+constexpr double kInFlightUpdateGain =
+    0.5;  // per update: with few arrivals alone, a past burst would count too long
+// A gateway that is one of many has few attempts in flight, a count that fluctuates by its square root; the
+// cubic function would turn the fluctuation into rejections. At low sample confidence the range from the
+// threshold to the full cutoff is therefore longer, and the threshold lower.
+constexpr double kLowConfidenceRangeIncrease = 0.5;       // of the limit
+constexpr double kLowConfidenceThresholdReduction = 0.1;  // of the limit
+// The outcome `overloaded` is the first sign of an overload, and endpoints stay slow long after one. The
+// limit is therefore reduced by kLimitReductionFactor times the fraction of such outcomes, at most by
+// kMaxLimitReduction.
+constexpr double kLimitReductionFactor = 4;
+constexpr double kMaxLimitReduction = 0.5;
+// Attempts in flight per endpoint, summed over all gateways, that the limit allows during the first
+// kInitialUpdates updates after this gateway's start, before anything has been measured.
+constexpr double kInitialInFlightPerEndpoint = 6;
+// The lower bound of the limit after that, also per endpoint. After a burst nearly everything is rejected and
+// endpoints are idle; a limit that followed the few answers would never recover.
+constexpr double kMinInFlightPerEndpoint = 4;
 constexpr int kInitialUpdates = 10;  // of kUpdateInterval each
-// Per update: forgotten in some minutes. When all endpoints slow down together, a limit that followed the
-// sinking rate would idle them; what an endpoint had in flight while nothing was rejected stays allowed.
+// Per update: the baseline decays within minutes. When all endpoints slow down together, a limit that
+// followed the falling rate of answers would idle them; the in-flight count per endpoint from before the
+// rejections stays allowed.
 constexpr double kBaselineDecay = 0.001;
-constexpr double kErrorThreshold =
-    0.1;  // share of errors up to which nothing is rejected: a few per cent are normal
-constexpr double kErrorMost = 0.7;  // share of errors at which everything is
-constexpr int kLogSteps = 20;       // of the cutoff: a line is logged when it passes a multiple
+constexpr double kErrorRateThreshold =
+    0.1;  // error rate up to which nothing is rejected: a few per cent are normal
+constexpr double kFullCutoffErrorRate = 0.7;  // error rate at which everything is rejected
+constexpr int kCutoffLogStep = 20;            // a line is logged when the cutoff passes a multiple of this
 
 }  // namespace
 
 double AdmissionController::inFlightLimit(Timestamp now) const {
   const double count = static_cast<double>(std::max<std::size_t>(endpoints_.reachableCount(), 1));
-  const double ease = 1 - std::min(kOverloadEase * overloads_ / outcomes_, kOverloadEaseMost);
+  const double limitFactor = 1 - std::min(kLimitReductionFactor * overloads_ / outcomes_, kMaxLimitReduction);
   const bool starting = now - startedAt_ < kInitialUpdates * kUpdateInterval;
-  const double perEndpoint = starting
-                                 ? kInitialPerEndpoint / settings_.gatewayCount
-                                 : std::max(kLeastPerEndpoint / settings_.gatewayCount, baselineInFlight_);
-  const double carried = rates_.answerRate() * classes_.meanObjective() * kLimitShareOfObjective;
+  const double perEndpoint =
+      starting ? kInitialInFlightPerEndpoint / settings_.gatewayCount
+               : std::max(kMinInFlightPerEndpoint / settings_.gatewayCount, baselineInFlight_);
+  const double inFlightByRate = rates_.answerRate() * classes_.meanObjective() * kTimeInFlightPerObjective;
   const double bound = settings_.maxInFlight > 0 ? settings_.maxInFlight : HUGE_VAL;
-  return std::min(ease * std::max(carried, perEndpoint * count), bound);
+  return std::min(limitFactor * std::max(inFlightByRate, perEndpoint * count), bound);
 }
 
 double AdmissionController::errorOverload() const {
@@ -57,18 +60,18 @@
   double errors = 0;
   for (const EndpointId id : endpoints_.listed()) {
     const Endpoint& endpoint = endpoints_[id];
-    if (!endpoint.inService()) continue;
+    if (!endpoint.countsTowardsPool()) continue;
     outcomes += endpoint.outlier.outcomes;
     errors += endpoint.outlier.errors;
   }
-  return (errors / outcomes - kErrorThreshold) / (kErrorMost - kErrorThreshold);
+  return (errors / outcomes - kErrorRateThreshold) / (kFullCutoffErrorRate - kErrorRateThreshold);
 }
 
 void AdmissionController::updateCutoff(Timestamp now) {
-  const double unsure = 1 - rates_.sampleConfidence();
-  const double inFlightOverload =
-      (smoothedInFlight_ / inFlightLimit(now) - kInFlightThreshold + kUnsureEarlier * unsure) /
-      (1 - kInFlightThreshold + kUnsureRange * unsure);
+  const double uncertainty = 1 - rates_.sampleConfidence();
+  const double inFlightOverload = (smoothedInFlight_ / inFlightLimit(now) - kInFlightThreshold +
+                                   kLowConfidenceThresholdReduction * uncertainty) /
+                                  (1 - kInFlightThreshold + kLowConfidenceRangeIncrease * uncertainty);
   const double overload = std::clamp(std::max(inFlightOverload, errorOverload_), 0.0, 1.0);
   cutoff_ = 100 * overload * overload * overload;
 }
@@ -81,7 +84,7 @@
 
 void AdmissionController::update(Timestamp now) {
   baselineInFlight_ *= 1 - kBaselineDecay;
-  if (isCalm() && endpoints_.reachableCount() > 0)
+  if (hasSpareCapacity() && endpoints_.reachableCount() > 0)
     baselineInFlight_ =
         std::max(baselineInFlight_, smoothedInFlight_ / static_cast<double>(endpoints_.reachableCount()));
   overloads_ *= 1 - kFastGain;
@@ -95,9 +98,9 @@
 }
 
 void AdmissionController::logCutoff(Timestamp now) {
-  const int step = static_cast<int>(cutoff_ / kLogSteps);
-  if (step == loggedStep_ || !actions_.mayLog(now)) return;
-  loggedStep_ = step;
+  const int step = static_cast<int>(cutoff_ / kCutoffLogStep);
+  if (step == loggedCutoffStep_ || !actions_.mayLog(now)) return;
+  loggedCutoffStep_ = step;
   actions_.log(now, "cutoff " + std::to_string(static_cast<int>(cutoff_)) + " inflight max " +
                         std::to_string(static_cast<int>(inFlightLimit(now))) + " error overload " +
                         std::to_string(errorOverload_));
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -1,4 +1,4 @@
-// Admission: the cutoff on priority scores below which requests are rejected unsent.
+// Admission control: computes the cutoff, the priority score below which requests are rejected on arrival.
 #pragma once
 
 #include "policy/action_queue.hpp"
@@ -8,14 +8,15 @@
 namespace cairnjunction::policy {
 
 // The cutoff is 100 x^3, where x, from 0 to 1, is the larger of two overloads of the pool:
-// - in-flight overload: attempts in flight as a share of the in-flight limit, the most with which answers
-//   still come in time. By Little's law the mean time in flight is the number in flight divided by the rate
-//   of answers; so the limit is proportional to the rate of answers times the latency objective;
-// - error overload: the share of attempts that failed or were answered as overloaded.
-// Either is zero up to its threshold.
+// - in-flight overload: attempts in flight as a fraction of the in-flight limit, which is the highest number
+//   with which answers still meet their objective. By Little's law the mean time in flight is the number in
+//   flight divided by the rate of answers; so the limit is proportional to that rate times the latency
+//   objective;
+// - error overload: the fraction of attempts that failed or were answered as overloaded.
+// Both are zero up to a threshold.
 class AdmissionController {
  public:
-  // All must outlive this object.
+  // All references must outlive this object. `now`: start of this gateway.
   AdmissionController(const Settings& settings, const TrafficRates& rates, const ClassTable& classes,
                       const EndpointTable& endpoints, ActionQueue& actions, Timestamp now)
       : settings_(settings),
@@ -25,21 +26,21 @@
         actions_(actions),
         startedAt_(now) {}
 
-  // A request has come: the number in flight is sampled and the cutoff follows.
+  // A request has arrived: samples the number in flight and updates the cutoff.
   void recordArrival(Timestamp now);
-  // An attempt has had an outcome that says something of the pool.
+  // An attempt had an outcome that counts towards the load of the pool.
   void recordOutcome() { outcomes_ += 1; }
-  // That outcome was `overloaded`; to be called beside recordOutcome, but not for an endpoint that has been
-  // overloaded for long (OutlierDetector::isOverloadedForLong). `weight`: the endpoint's success weight for
-  // the class.
+  // That outcome was `overloaded`. Call it in addition to recordOutcome, but not for an endpoint that is
+  // OutlierDetector::isPersistentlyOverloaded. `weight`: the endpoint's success weight for the class, 0 to 1.
   void recordOverload(double weight) { overloads_ += weight; }
-  // To be called once every kUpdateInterval, after the rates' own update.
+  // Must be called once every kUpdateInterval, after TrafficRates::update.
   void update(Timestamp now);
 
-  // 0 to 100: requests of a lower score are to be rejected.
+  // 0 to 100: requests with a lower priority score are rejected.
   double cutoff() const { return cutoff_; }
-  // Whether next to nothing is rejected, so that there is room for more than the most needful.
-  bool isCalm() const { return cutoff_ <= 1; }
+  // Whether almost nothing is rejected, so that the pool has capacity for hedges and attempts that are likely
+  // to be late.
+  bool hasSpareCapacity() const { return cutoff_ <= 1; }
 
  private:
   double inFlightLimit(Timestamp now) const;
@@ -55,13 +56,13 @@
   Timestamp startedAt_;
   double cutoff_ = 0;
   double smoothedInFlight_ = 0;
-  double baselineInFlight_ = 0;       // an endpoint's, while nothing is rejected; decays slowly
-  double errorOverload_ = 0;          // as of the last update; below the threshold it is negative
+  double baselineInFlight_ = 0;       // highest per endpoint while almost nothing is rejected; decays slowly
+  double errorOverload_ = 0;          // as of the last update; negative below the threshold
   double overloads_ = 0;              // decayed and weighted count
   double outcomes_ = kPriorOutcomes;  // decayed count
-  int loggedStep_ = 0;                // of the cutoff, as last logged
+  int loggedCutoffStep_ = 0;          // cutoff in steps of kCutoffLogStep, as last logged
 
-  // Attempts that are assumed to have gone well, so that a handful of them proves nothing.
+  // Attempts assumed to have succeeded, so that a few failures alone do not count as an overload.
   static constexpr double kPriorOutcomes = 10;
 };
 
--- a/src/policy/class_state.cpp
+++ b/src/policy/class_state.cpp
@@ -8,27 +8,31 @@
 namespace cairnjunction::policy {
 namespace {
 
-constexpr double kSameTimeShare = 0.02;  // of the client's total wait: times closer than this are the same
-constexpr double kSeenDecay = 0.98;      // per request: over about the last fifty
-constexpr double kFullerBy = 0.9;  // a later bucket with this share of an earlier one's count is preferred
-constexpr double kClassFailureGain = 0.02;  // per attempt: over about the last fifty
-constexpr double kLatencyRatioMost = 20;
+constexpr double kSameTimeTolerance =
+    0.02;  // of the client timeout: remaining times closer than this count as equal
+constexpr double kBucketDecay = 0.98;  // per request: over about the last 50
+constexpr double kLaterBucketPreference =
+    0.9;  // a bucket of longer times wins with this fraction of the count of a shorter one
+constexpr double kClassFailureGain = 0.02;  // per attempt: over about the last 50
+constexpr double kMaxLatencyRatio = 20;
 
 }  // namespace
 
 Duration ClientTimeModel::recordTimeRemaining(Duration timeRemaining, Duration clientTimeout) {
-  const Duration bucketWidth = scaled(clientTimeout, kSameTimeShare);
+  const Duration bucketWidth = scaled(clientTimeout, kSameTimeTolerance);
   const double position = toSeconds(timeRemaining) / std::max(toSeconds(bucketWidth), 1e-9);
   const auto bucket =
-      static_cast<std::size_t>(std::clamp(position, 0.0, static_cast<double>(seen_.size() - 1)));
-  for (double& seen : seen_) seen *= kSeenDecay;
-  seen_[bucket] += 1;
-  const auto fullest = std::max_element(seen_.rbegin(), seen_.rend(),
-                                        [](double best, double other) { return best < kFullerBy * other; });
-  usualBucket_ = static_cast<std::size_t>(seen_.rend() - fullest) - 1;
-  if (bucket == usualBucket_) usualTime_ = timeRemaining;
-  const bool firstTry = timeRemaining > usualTime_ - bucketWidth && timeRemaining < usualTime_ + bucketWidth;
-  return firstTry ? Duration{} : std::max(clientTimeout - timeRemaining, Duration{});
+      static_cast<std::size_t>(std::clamp(position, 0.0, static_cast<double>(bucketCounts_.size() - 1)));
+  for (double& bucketCount : bucketCounts_) bucketCount *= kBucketDecay;
+  bucketCounts_[bucket] += 1;
+  const auto fullest =
+      std::max_element(bucketCounts_.rbegin(), bucketCounts_.rend(),
+                       [](double best, double other) { return best < kLaterBucketPreference * other; });
+  usualBucket_ = static_cast<std::size_t>(bucketCounts_.rend() - fullest) - 1;
+  if (bucket == usualBucket_) usualTimeRemaining_ = timeRemaining;
+  const bool isFirstAttempt =
+      timeRemaining > usualTimeRemaining_ - bucketWidth && timeRemaining < usualTimeRemaining_ + bucketWidth;
+  return isFirstAttempt ? Duration{} : std::max(clientTimeout - timeRemaining, Duration{});
 }
 
 double ClassState::recordCost(Duration expectedCost) {
@@ -40,11 +44,12 @@
 
 Duration ClassState::lateAllowance() const {
   const Duration objective = settings_.latencyObjective;
-  return scaled(std::min(clientTime_.usualTime() - objective, objective), settings_.lateValueFraction);
+  return scaled(std::min(clientTime_.usualTimeRemaining() - objective, objective),
+                settings_.lateValueFraction);
 }
 
 double ClassState::latencyRatio(double seconds, double costRatio) const {
-  return std::min(seconds / (typicalLatency_ * costRatio), kLatencyRatioMost);
+  return std::min(seconds / (typicalLatency_ * costRatio), kMaxLatencyRatio);
 }
 
 double ClassState::recordLatency(double seconds, double costRatio) {
--- a/src/policy/connect_backoff.cpp
+++ b/src/policy/connect_backoff.cpp
@@ -7,21 +7,21 @@
 namespace cairnjunction::policy {
 namespace {
 
-// An endpoint that cannot be connected to is down or at its limit.
-constexpr Duration kConnectRest = std::chrono::seconds(1);
-constexpr int kConnectDoublings = 3;
-// Descriptors come free as answers do.
-constexpr Duration kNoDescriptorRest = std::chrono::milliseconds(20);
+// An endpoint that does not accept connections is down or at its connection limit.
+constexpr Duration kInitialConnectBackoff = std::chrono::seconds(1);
+constexpr int kMaxConnectBackoffDoublings = 3;
+// Descriptors are freed as soon as answers arrive.
+constexpr Duration kNoDescriptorBackoff = std::chrono::milliseconds(20);
 
 }  // namespace
 
 void ConnectBackoff::recordFailure(Endpoint& endpoint, Timestamp now, Random& random) {
   ConnectionRecord& connections = endpoint.connections;
   connections.connectAfter =
-      now + scaled(kConnectRest * (1 << connections.connectFailures), 0.5 + random.unit());
-  connections.connectFailures = std::min(connections.connectFailures + 1, kConnectDoublings);
+      now + scaled(kInitialConnectBackoff * (1 << connections.connectFailures), 0.5 + random.unit());
+  connections.connectFailures = std::min(connections.connectFailures + 1, kMaxConnectBackoffDoublings);
 }
 
-void ConnectBackoff::recordNoDescriptor(Timestamp now) { connectAfter_ = now + kNoDescriptorRest; }
+void ConnectBackoff::recordNoDescriptor(Timestamp now) { connectAfter_ = now + kNoDescriptorBackoff; }
 
 }  // namespace cairnjunction::policy
--- a/src/policy/connection_age.cpp
+++ b/src/policy/connection_age.cpp
@@ -7,16 +7,18 @@
 namespace cairnjunction::policy {
 namespace {
 
-// Beyond its own subset a gateway gives connections back when they were not used for so long.
-constexpr Duration kCloseIdleAfter = std::chrono::seconds(5);
-constexpr Duration kFirstIdleStep = std::chrono::milliseconds(250);  // doubled with each step
-constexpr double kLostGain = 0.2;        // per attempt: over the last five of its step
-constexpr double kLostDecay = 0.005;     // per update: tried again after some twenty seconds
-constexpr double kStaleLostShare = 0.3;  // lost so often beyond the share of fresh ones: not used
+// Outside its subset a gateway closes connections that were unused for this time.
+constexpr Duration kUnusedConnectionTimeout = std::chrono::seconds(5);
+constexpr Duration kFirstIdleStepDuration =
+    std::chrono::milliseconds(250);       // idle time at which step 1 begins; doubles with each step
+constexpr double kLossRateGain = 0.2;     // per attempt: over about the last 5 of the step
+constexpr double kLossRateDecay = 0.005;  // per update: a stale step is used again after about 20 s
+constexpr double kStaleLossRate =
+    0.3;  // excess over the loss rate of fresh connections from which on a step is stale
 
 }  // namespace
 
-bool ConnectionAgeTracker::hasRoom(const Endpoint& endpoint, Timestamp now) const {
+bool ConnectionAgeTracker::hasCapacity(const Endpoint& endpoint, Timestamp now) const {
   const ConnectionRecord& connections = endpoint.connections;
   const bool timedOut = settings_.idleTimeout > Duration{} && endpoint.inFlight == 0 &&
                         now - connections.lastUsedAt >= settings_.idleTimeout;
@@ -25,56 +27,56 @@
 }
 
 std::size_t ConnectionAgeTracker::idleStep(const Endpoint& endpoint, Timestamp now) const {
-  if (!hasRoom(endpoint, now) || endpoint.inFlight > 0) return 0;
+  if (!hasCapacity(endpoint, now) || endpoint.inFlight > 0) return 0;
   const Duration idle = now - endpoint.connections.lastUsedAt;
   std::size_t step = 0;
-  for (Duration limit = kFirstIdleStep; step + 1 < kIdleSteps && idle >= limit; limit *= 2) ++step;
+  for (Duration limit = kFirstIdleStepDuration; step + 1 < kIdleSteps && idle >= limit; limit *= 2) ++step;
   return step;
 }
 
 bool ConnectionAgeTracker::isStale(std::size_t idleStep) const {
-  return idleStep > 0 && lostShare_[idleStep] > kStaleLostShare + lostShare_[0];
+  return idleStep > 0 && lossRates_[idleStep] > kStaleLossRate + lossRates_[0];
 }
 
-ConnectionAgeTracker::Use ConnectionAgeTracker::recordSend(Endpoint& endpoint, Timestamp now) {
+ConnectionAgeTracker::SendEffect ConnectionAgeTracker::recordSend(Endpoint& endpoint, Timestamp now) {
   ConnectionRecord& connections = endpoint.connections;
-  Use use;
-  use.idleStep = idleStep(endpoint, now);
-  if (isStale(use.idleStep)) {
-    use.closeStaleFirst = true;
-    use.idleStep = 0;
-    if (!connections.reported) connections.open = 0;
+  SendEffect effect;
+  effect.idleStep = idleStep(endpoint, now);
+  if (isStale(effect.idleStep)) {
+    effect.closeStaleFirst = true;
+    effect.idleStep = 0;
+    if (!connections.openIsReported) connections.open = 0;
   }
-  use.newConnection = !hasRoom(endpoint, now);
+  effect.newConnection = !hasCapacity(endpoint, now);
   connections.lastUsedAt = now;
-  if (!connections.reported && !hasRoom(endpoint, now)) ++connections.open;
-  return use;
+  if (!connections.openIsReported && !hasCapacity(endpoint, now)) ++connections.open;
+  return effect;
 }
 
 void ConnectionAgeTracker::recordOutcome(std::size_t idleStep, Outcome outcome) {
   const bool lost = outcome == Outcome::timeout || outcome == Outcome::reset;
-  const bool arrived =
+  const bool answered =
       outcome == Outcome::served || outcome == Outcome::error || outcome == Outcome::overloaded;
-  if (!lost && !arrived) return;
-  // Keeps lostShare_ rising with the idle time: a loss counts for all longer idle times too, and an arrival
-  // for all shorter ones. A loss on a connection that was new or in use says nothing about idle ones.
+  if (!lost && !answered) return;
+  // Keeps lossRates_ rising with the idle time: a loss also counts for all longer idle times, and an answer
+  // for all shorter ones. A loss on a connection that was new or in use is no evidence about idle ones.
   const std::size_t first = lost ? idleStep : 0;
   const std::size_t end = lost && idleStep > 0 ? kIdleSteps : idleStep + 1;
-  for (std::size_t i = first; i < end; ++i) lostShare_[i] += kLostGain * ((lost ? 1 : 0) - lostShare_[i]);
+  for (std::size_t i = first; i < end; ++i) lossRates_[i] += kLossRateGain * ((lost ? 1 : 0) - lossRates_[i]);
 }
 
 void ConnectionAgeTracker::recordClosed(Endpoint& endpoint) {
   ConnectionRecord& connections = endpoint.connections;
-  if (!connections.reported) connections.open = std::max(connections.open - 1, 0);
+  if (!connections.openIsReported) connections.open = std::max(connections.open - 1, 0);
 }
 
 void ConnectionAgeTracker::recordReported(Endpoint& endpoint, std::uint32_t open) {
-  endpoint.connections.reported = true;
+  endpoint.connections.openIsReported = true;
   endpoint.connections.open = static_cast<int>(open);
 }
 
 void ConnectionAgeTracker::reset(Endpoint& endpoint) {
-  if (!endpoint.connections.reported) endpoint.connections.open = 0;
+  if (!endpoint.connections.openIsReported) endpoint.connections.open = 0;
 }
 
 void ConnectionAgeTracker::update(EndpointTable& endpoints, Timestamp now, std::vector<EndpointId>& toClose) {
@@ -82,12 +84,13 @@
   for (std::size_t i = endpoints.subsetSize(); i < ordered.size(); ++i) {
     Endpoint& endpoint = endpoints[ordered[i]];
     ConnectionRecord& connections = endpoint.connections;
-    if (connections.open == 0 || endpoint.inFlight > 0 || now - connections.lastUsedAt < kCloseIdleAfter)
+    if (connections.open == 0 || endpoint.inFlight > 0 ||
+        now - connections.lastUsedAt < kUnusedConnectionTimeout)
       continue;
-    if (!connections.reported) connections.open = 0;
+    if (!connections.openIsReported) connections.open = 0;
     toClose.push_back(ordered[i]);
   }
-  for (double& share : lostShare_) share *= 1 - kLostDecay;
+  for (double& rate : lossRates_) rate *= 1 - kLossRateDecay;
 }
 
 }  // namespace cairnjunction::policy
--- a/src/policy/connection_age.hpp
+++ b/src/policy/connection_age.hpp
@@ -1,5 +1,5 @@
-// Connections to endpoints: which are open with room, how long they lay idle, and how often attempts are lost
-// on idle ones.
+// Tracks the connections to endpoints: how many are open and have capacity, how long they have been idle, and
+// how often attempts on idle connections are lost.
 #pragma once
 
 #include <array>
@@ -9,41 +9,43 @@
 
 namespace cairnjunction::policy {
 
-// Something on the way to an endpoint may drop idle connections without telling either end, and what is then
-// sent on one is lost without a word. Losses are counted over all endpoints by how long the connection lay
-// idle, in steps that double; connections that lay idle too long by this count are closed instead of used.
+// A firewall or similar device may drop idle connections without notifying either end; attempts sent on such
+// a connection are lost silently. The loss rate is tracked over all endpoints by idle time, in steps that
+// double; connections whose idle time has a high loss rate are stale and are closed instead of used.
 class ConnectionAgeTracker {
  public:
-  // What a send does to an endpoint's connections.
-  struct Use {
-    bool newConnection = false;    // none has room: one is opened for the attempt
-    std::size_t idleStep = 0;      // how long the connection used lay idle; 0: new or in use
-    bool closeStaleFirst = false;  // the idle ones are to be closed before
+  // Effect of a send on the endpoint's connections.
+  struct SendEffect {
+    bool newConnection = false;    // none has capacity: one is opened for the attempt
+    std::size_t idleStep = 0;      // idle time of the connection used; 0: new or in use
+    bool closeStaleFirst = false;  // the idle connections must be closed first
   };
 
   // `settings` must outlive this object.
   explicit ConnectionAgeTracker(const Settings& settings) : settings_(settings) {}
 
-  // Whether an open connection has room for another attempt.
-  bool hasRoom(const Endpoint& endpoint, Timestamp now) const;
-  // Whether an attempt would go on a connection that is not stale.
-  bool hasFreshRoom(const Endpoint& endpoint, Timestamp now) const {
-    return hasRoom(endpoint, now) && !isStale(idleStep(endpoint, now));
+  // Whether an open connection has capacity for another attempt.
+  bool hasCapacity(const Endpoint& endpoint, Timestamp now) const;
+  // Whether an open connection that is not stale has capacity for another attempt.
+  bool hasFreshCapacity(const Endpoint& endpoint, Timestamp now) const {
+    return hasCapacity(endpoint, now) && !isStale(idleStep(endpoint, now));
   }
 
-  // Notes that an attempt is sent; to be called before it is counted in flight.
-  Use recordSend(Endpoint& endpoint, Timestamp now);
-  // Notes the outcome of an attempt on a connection that lay idle for `idleStep`.
+  // Records that an attempt is sent. Must be called before the attempt is counted in Endpoint::inFlight.
+  SendEffect recordSend(Endpoint& endpoint, Timestamp now);
+  // Records the outcome of an attempt whose connection had been idle for `idleStep`, as returned by
+  // recordSend.
   void recordOutcome(std::size_t idleStep, Outcome outcome);
-  // A connection to the endpoint broke.
+  // A connection to the endpoint was closed or could not be opened.
   static void recordClosed(Endpoint& endpoint);
-  // The connections are as the embedding program says, from now on.
+  // The embedding program reported the number of open connections; estimates are no longer used.
   static void recordReported(Endpoint& endpoint, std::uint32_t open);
-  // The endpoint has a new process.
+  // The endpoint has a new process: its connections are assumed closed, unless they are reported.
   static void reset(Endpoint& endpoint);
 
-  // To be called once every kUpdateInterval: appends to `toClose` the endpoints beyond this gateway's subset
-  // whose connections are idle. Kept, they would add up to the endpoints' limits and shut other gateways out.
+  // Must be called once every kUpdateInterval. Appends to `toClose` the endpoints outside this gateway's
+  // subset whose connections are unused: kept open, such connections of all gateways would use up the
+  // endpoints' connection limits.
   void update(EndpointTable& endpoints, Timestamp now, std::vector<EndpointId>& toClose);
 
  private:
@@ -53,7 +55,8 @@
   bool isStale(std::size_t idleStep) const;
 
   const Settings& settings_;
-  std::array<double, kIdleSteps> lostShare_{};  // of the attempts, by idle step; rising with it
+  std::array<double, kIdleSteps>
+      lossRates_{};  // fraction of attempts lost, by idle step; rises with the step
 };
 
 }  // namespace cairnjunction::policy
--- a/src/policy/endpoint_list_poller.cpp
+++ b/src/policy/endpoint_list_poller.cpp
@@ -7,38 +7,39 @@
 namespace cairnjunction::policy {
 namespace {
 
-constexpr Duration kPollBackoff = std::chrono::milliseconds(500);  // doubled with each failure in a row,
-constexpr int kPollBackoffDoublings = 4;                           // up to so often
+constexpr Duration kInitialPollBackoff =
+    std::chrono::milliseconds(500);          // doubled with each consecutive failure
+constexpr int kMaxPollBackoffDoublings = 4;  // limit of the doublings
 
 }  // namespace
 
 void EndpointListPoller::onList(EndpointListKind kind, Timestamp now) {
   if (kind == EndpointListKind::restored) {
-    if (settings_.pollDiscovery) pollAgainAt_ = now;
+    if (settings_.pollDiscovery) nextPollAt_ = now;
     return;
   }
-  failures_ = 0;
-  answered_ = true;
+  consecutiveFailures_ = 0;
+  listReceived_ = true;
 }
 
 void EndpointListPoller::onUnavailable(Timestamp now, Random& random) {
-  failures_ = std::min(failures_ + 1, kPollBackoffDoublings);
-  polling_ = false;
-  Duration wait = kPollBackoff * (1 << failures_);
-  // The limit is set before the jitter: set after it, it would bring all gateways back in one moment.
+  consecutiveFailures_ = std::min(consecutiveFailures_ + 1, kMaxPollBackoffDoublings);
+  pollStarted_ = false;
+  Duration wait = kInitialPollBackoff * (1 << consecutiveFailures_);
+  // The limit applies before the jitter; applied after it, all gateways would poll at the same time.
   if (settings_.maxPollInterval > Duration{}) wait = std::min(wait, settings_.maxPollInterval / 5);
-  pollAgainAt_ = now + scaled(wait, 0.5 + random.unit());
+  nextPollAt_ = now + scaled(wait, 0.5 + random.unit());
 }
 
-bool EndpointListPoller::beginPollIfDue(Timestamp now) {
-  if (!settings_.pollDiscovery || now < pollAgainAt_) return false;
-  // A poll whose answer is lost would otherwise leave this gateway without lists for good.
-  const bool lost =
-      !answered_ && settings_.maxPollInterval > Duration{} && now - polledAt_ > settings_.maxPollInterval / 2;
-  if (polling_ && !lost) return false;
-  polling_ = true;
-  answered_ = false;
-  polledAt_ = now;
+bool EndpointListPoller::startPollIfDue(Timestamp now) {
+  if (!settings_.pollDiscovery || now < nextPollAt_) return false;
+  // Without this, a lost answer would leave this gateway without lists permanently.
+  const bool lost = !listReceived_ && settings_.maxPollInterval > Duration{} &&
+                    now - pollStartedAt_ > settings_.maxPollInterval / 2;
+  if (pollStarted_ && !lost) return false;
+  pollStarted_ = true;
+  listReceived_ = false;
+  pollStartedAt_ = now;
   return true;
 }
 
--- a/src/policy/endpoint_list_poller.hpp
+++ b/src/policy/endpoint_list_poller.hpp
@@ -1,4 +1,4 @@
-// Polling of service discovery, where it sends the endpoint list only on request.
+// Polling of discovery, for deployments where it sends the endpoint list only after a poll.
 #pragma once
 
 #include "cairnjunction/load_balancer.hpp"
@@ -6,27 +6,28 @@
 
 namespace cairnjunction::policy {
 
-// Says when discovery is to be polled: at the start, after each poll that failed (with backoff), at once
-// after a restored list, and again when a poll stays without an answer for long.
+// Decides when to poll discovery: at the start, after each failed poll (with backoff), immediately after a
+// restored list, and again when a poll remains unanswered for half of Settings::maxPollInterval. After a
+// successful poll discovery sends updates on its own.
 class EndpointListPoller {
  public:
   // `settings` must outlive this object.
   explicit EndpointListPoller(const Settings& settings) : settings_(settings) {}
 
-  // A list came. A restored one is no answer of discovery, and it may be stale.
+  // A list arrived. A restored list does not answer a poll, and it may be stale.
   void onList(EndpointListKind kind, Timestamp now);
   // A poll failed.
   void onUnavailable(Timestamp now, Random& random);
-  // Whether discovery is to be polled now; if so, the poll counts as begun.
-  bool beginPollIfDue(Timestamp now);
+  // Whether discovery must be polled now; if so, the poll counts as started.
+  bool startPollIfDue(Timestamp now);
 
  private:
   const Settings& settings_;
-  bool polling_ = false;   // a poll has begun and has not failed; discovery then sends its updates by itself
-  bool answered_ = false;  // the poll has brought a list
-  Timestamp polledAt_{};
-  Timestamp pollAgainAt_{};
-  int failures_ = 0;  // in a row, up to kPollBackoffDoublings
+  bool pollStarted_ = false;   // a poll was started and has not failed
+  bool listReceived_ = false;  // a list has arrived since the poll was started
+  Timestamp pollStartedAt_{};
+  Timestamp nextPollAt_{};
+  int consecutiveFailures_ = 0;  // in a row, up to kMaxPollBackoffDoublings
 };
 
 }  // namespace cairnjunction::policy
--- a/src/policy/endpoint_picker.hpp
+++ b/src/policy/endpoint_picker.hpp
@@ -1,4 +1,4 @@
-// Endpoint picker: which endpoint an attempt is sent to.
+// Endpoint picker: chooses the endpoint that an attempt is sent to.
 #pragma once
 
 #include <optional>
@@ -13,15 +13,15 @@
 
 namespace cairnjunction::policy {
 
-// Picks in this order among the candidates, which are this gateway's subset, or more of the pool while none
-// of the subset is idle:
-// 1. for a first attempt, an idle endpoint in slow start, where requests are few;
-// 2. with key affinity, the first idle one of the few that the key hashes to (rendezvous hashing);
-// 3. an idle one, by a weighted draw;
-// 4. the less loaded of two draws.
+// Candidates are the endpoints of this gateway's subset, plus further ones of the pool while none of the
+// subset is idle. Picks, in this order of preference:
+// 1. for a first attempt, where requests are rare, an idle endpoint in slow start;
+// 2. with key affinity, the first idle one of the few endpoints that the key hashes to (rendezvous hashing);
+// 3. an idle endpoint, by a weighted random draw;
+// 4. the less loaded of two endpoints drawn at random.
 class EndpointPicker {
  public:
-  // What the picker reads and draws from. All must outlive it.
+  // All referenced objects must outlive the picker.
   struct Inputs {
     const Settings& settings;
     EndpointTable& endpoints;
@@ -35,14 +35,14 @@
     Random& random;
   };
 
-  explicit EndpointPicker(const Inputs& inputs) : in_(inputs) {}
+  explicit EndpointPicker(const Inputs& inputs) : inputs_(inputs) {}
 
-  // nullopt: there is none that it may be sent to.
+  // nullopt if no endpoint may receive the attempt.
   std::optional<EndpointId> pick(const ActiveRequest& request, Timestamp now);
 
  private:
-  // anyAllowed: only what the rules forbid or what is known to fail is left out. Better than no endpoint at
-  // all.
+  // anyAllowed: the fallback if no endpoint is healthy; excludes only endpoints that are not allowed or
+  // certain to fail.
   enum class Requirement : std::uint8_t { healthy, anyAllowed };
 
   void collectCandidates(const ActiveRequest& request, Requirement requirement, Timestamp now);
@@ -54,9 +54,9 @@
   std::optional<EndpointId> drawIdle(std::uint32_t classIndex);
   EndpointId drawLessLoaded(std::uint32_t classIndex);
 
-  Inputs in_;
-  double idleInFlightLimit_ = 1;        // in flight to an endpoint of median latency: with fewer it is idle
-  std::vector<EndpointId> candidates_;  // of the present pick
+  Inputs inputs_;
+  double idleInFlightLimit_ = 1;        // an endpoint of median latency with fewer attempts in flight is idle
+  std::vector<EndpointId> candidates_;  // of the current pick
 };
 
 }  // namespace cairnjunction::policy
--- a/src/policy/endpoint_record.hpp
+++ b/src/policy/endpoint_record.hpp
@@ -1,5 +1,5 @@
-// What is kept of one endpoint: a record for each object that learns of it. Each record is written by its
-// object alone; others may read it.
+// State of one endpoint: a record for each object that keeps statistics on it. Only that object writes the
+// record, except where noted; others may read it.
 #pragma once
 
 #include <cstdint>
@@ -11,94 +11,95 @@
 
 namespace cairnjunction::policy {
 
+// State in outlier detection.
 enum class EjectionState : std::uint8_t {
   healthy,
-  ejected,   // nothing is sent until its ejection ends
-  probation  // one attempt at a time, until one says whether it is well again
+  ejected,   // receives no attempts until the ejection ends
+  probation  // receives one attempt at a time, until one decides whether it is healthy
 };
 
-// Of OutlierDetector.
+// Written by OutlierDetector.
 struct OutlierRecord {
   EjectionState state = EjectionState::healthy;
-  Timestamp restUntil{};  // after several overloads in a row: nothing is sent before
+  Timestamp overloadBackoffUntil{};  // after consecutive overloads: no attempts before this time
   Timestamp ejectedUntil{};
-  int ejections = 0;                      // in a row, up to kEjectionDoublings
-  double failureRate = 0;                 // share of failed attempts, over about the last eight
-  std::vector<double> classFailureRates;  // the same by class index, over about the last four
-  double outcomes = 0;                    // decayed count of attempts that ran
-  double errors = 0;                      // of those: failed or turned away
+  int ejections = 0;                      // consecutive ejections, up to kMaxEjectionDoublings
+  double failureRate = 0;                 // fraction of failed attempts, over about the last 8
+  std::vector<double> classFailureRates;  // the same by class index, over about the last 4
+  double outcomes = 0;                    // decayed count of attempts
+  double errors = 0;                      // of those: failed or rejected as overloaded
   int consecutiveOverloads = 0;
 };
 
-// Of ResponsivenessMonitor.
+// Written by ResponsivenessMonitor.
 struct ResponsivenessRecord {
   bool unresponsive = false;
   Timestamp lastResponseAt{};
-  std::deque<RequestRef> sent;  // in order of sending; the first one is in flight after each update
+  std::deque<RequestRef> sentRequests;  // in order of sending; after each update the first one is in flight
 };
 
-// Of LatencyTracker.
+// Written by LatencyTracker; SlowStart resets `answers`.
 struct LatencyRecord {
-  double relativeLatency = 1;  // time taken against what is typical for the class; 0 to 20
-  double answers = 0;          // since the last update
+  double relativeLatency = 1;  // latency as a multiple of the typical latency of the class; 0 to 20
+  double answers = 0;          // number since the last update
 };
 
-// Of ConnectionAgeTracker and ConnectBackoff.
+// Written by ConnectionAgeTracker and ConnectBackoff; LoadBalancer::Impl updates lastUsedAt.
 struct ConnectionRecord {
-  int open = 0;           // connections that are or should be open
-  bool reported = false;  // `open` comes from the embedding program, and is exact
+  int open = 0;                 // open connections, as reported or estimated
+  bool openIsReported = false;  // `open` is reported by the embedding program and exact
   Timestamp lastUsedAt{};
-  Timestamp connectAfter{};  // no new connection is opened before
-  int connectFailures = 0;   // in a row, up to kConnectDoublings
+  Timestamp connectAfter{};  // no new connection before this time
+  int connectFailures = 0;   // consecutive, up to kMaxConnectBackoffDoublings
 };
 
-// Of SlowStart.
+// Written by SlowStart.
 struct SlowStartRecord {
-  double tokens = 0;  // attempts that may be sent
+  double tokens = 0;  // number of attempts that may be sent
   Timestamp refilledAt{};
 };
 
-// Of LoadReports.
+// Written by LoadReports.
 struct LoadRecord {
-  double load = 1;            // 1 + requests per core, as last reported
-  double selectionShare = 1;  // factor on its chance of being picked; 0.05 to 1
+  double load = 1;             // 1 + requests per core, as last reported
+  double selectionWeight = 1;  // factor on the probability of being picked; 0.05 to 1
 };
 
-// In the order in which picks read it: a pick looks at every endpoint of the subset.
+// Members are in the order in which a pick reads them, since a pick examines every endpoint of the subset.
 struct Endpoint {
-  EndpointInfo info;           // as last listed; without an address the id is free
-  Timestamp restartedAfter{};  // its process is no older than this, by what was seen of it
-  int inFlight = 0;            // attempts of this gateway
+  EndpointInfo info;           // as last listed; an empty address marks a free id
+  Timestamp restartedAfter{};  // its process is known to have started after this time
+  int inFlight = 0;            // attempts of this gateway in flight to it
   Reachability reachability = Reachability::reachable;
-  bool local = false;  // in this gateway's zone
+  bool inOwnZone = false;  // in this gateway's zone
   OutlierRecord outlier;
   ResponsivenessRecord responsiveness;
   LatencyRecord latency;
   ConnectionRecord connections;
   LoadRecord loadReport;
   SlowStartRecord slowStart;
-  std::vector<bool> allowedForClass;  // by class index: the class's placement allows this endpoint
-  std::uint64_t hash = 0;             // of the address: the same at every gateway
+  std::vector<bool> allowedForClass;  // by class index: whether allowedZones and allowedMachineKinds allow it
+  std::uint64_t addressHash = 0;      // hash of the address: the same at every gateway
   std::size_t machineKind = 0;        // into EndpointTable::machineKinds
-  int references = 0;                 // by attempts of open requests, settled ones included
+  int references = 0;                 // number of attempts of open requests, including settled ones
 
-  // Whether it counts towards the load and the errors of the pool: one that is in trouble of its own must
-  // not.
-  bool inService() const {
+  // Whether the endpoint counts towards the load and the error rate of the pool. One that is ejected, on
+  // probation, unresponsive or not reachable does not.
+  bool countsTowardsPool() const {
     return outlier.state == EjectionState::healthy && !responsiveness.unresponsive &&
            reachability == Reachability::reachable;
   }
 };
 
-// What endpoints on machines of one kind have in common.
+// Statistics of the endpoints on machines of one kind.
 struct MachineKind {
   std::string name;
-  double relativeLatency = 1;  // of its endpoints in the mean: what one not heard of is taken for
-  double fullWeight = 0;       // the highest weight that was listed: that of an endpoint that holds nothing
-  double answers = 0;          // by its endpoints past slow start since the last update,
-  double endpoints = 0;        // and how many these are
-  double answerRate = 0;       // answers a second that an endpoint past its slow start gives to this gateway
-  double provenRate = 0;       // the best answerRate of the last half minute or so
+  double relativeLatency = 1;  // mean of its endpoints; assumed for endpoints without recent answers
+  double unloadedWeight = 0;   // highest listed weight: that of an endpoint without load
+  double answers = 0;          // by its endpoints past slow start, since the last update
+  double endpoints = 0;        // number of those endpoints
+  double answerRate = 0;       // answers per second to this gateway from one endpoint past slow start
+  double peakAnswerRate = 0;   // highest answerRate of about the last 30 s
 };
 
 }  // namespace cairnjunction::policy
--- a/src/policy/endpoint_table.cpp
+++ b/src/policy/endpoint_table.cpp
@@ -7,17 +7,18 @@
 namespace cairnjunction::policy {
 namespace {
 
-// Endpoints accept so many connections, and each gateway of a large group opening one to every endpoint would
-// shut the others out. A gateway keeps to this many endpoints, and to this many times its part of the pool.
-constexpr double kSubsetLeast = 6;
-constexpr double kSubsetParts = 4;
-constexpr std::uint32_t kSubsetRound = 16;  // gateways dealt out over the pool at a time
+// Endpoints accept a limited number of connections, which a large group of gateways would use up if each
+// opened one to every endpoint. So the subset of a gateway has kMinSubsetSize endpoints, plus kSubsetFactor
+// times its even part of the pool.
+constexpr double kMinSubsetSize = 6;
+constexpr double kSubsetFactor = 4;
+constexpr std::uint32_t kGatewaysPerRound = 16;  // gateways distributed evenly over the pool
 
 bool allows(const std::optional<std::vector<std::string>>& list, const std::string& name) {
   return !list || std::find(list->begin(), list->end(), name) != list->end();
 }
 
-// By the classes' rules on placement.
+// Applies allowedZones and allowedMachineKinds of each class.
 void allowClasses(Endpoint& endpoint, const ClassTable& classes) {
   endpoint.allowedForClass.clear();
   for (const ClassState& state : classes) {
@@ -44,16 +45,16 @@
   if (isNew) {
     if (freeIds_.empty()) endpoints_.emplace_back();
     else freeIds_.pop_back();
-    endpoints_[newId].hash = hashText(info.address);
+    endpoints_[newId].addressHash = hashText(info.address);
   }
   Endpoint& endpoint = endpoints_[it->second];
   const bool restarted = isNew || info.startedAt != endpoint.info.startedAt;
   endpoint.info = info;
-  endpoint.local = info.zone == settings_.zone;
+  endpoint.inOwnZone = info.zone == settings_.zone;
   allowClasses(endpoint, classes);
   endpoint.machineKind = machineKindNamed(info.machineKind);
   MachineKind& kind = machineKinds_[endpoint.machineKind];
-  kind.fullWeight = std::max(kind.fullWeight, info.weight);
+  kind.unloadedWeight = std::max(kind.unloadedWeight, info.weight);
   return {it->second, restarted};
 }
 
@@ -65,9 +66,10 @@
   return index;
 }
 
-// Endpoints lie on a ring, in an order of its own for every round of gateways, and the gateways of a round
-// start evenly around it: endpoints that come or go change only their neighbours' subsets. With key affinity
-// all gateways use all endpoints, so that one endpoint serves a key for all of them.
+// Endpoints are placed on a hash ring, a different one for every round of kGatewaysPerRound gateways, and the
+// gateways of a round start at equal distances on it: adding or removing an endpoint changes only the subsets
+// near it. With key affinity all gateways use all endpoints, so that an endpoint serves a key for all of
+// them.
 void EndpointTable::rebuildOrder() {
   listed_.clear();
   for (EndpointId id = 0; id < endpoints_.size(); ++id)
@@ -79,11 +81,11 @@
 
   const auto count = static_cast<double>(listed_.size());
   const double subset =
-      settings_.keyAffinity ? count : kSubsetLeast + kSubsetParts * count / settings_.gatewayCount;
+      settings_.keyAffinity ? count : kMinSubsetSize + kSubsetFactor * count / settings_.gatewayCount;
   subsetSize_ = static_cast<std::size_t>(std::min(count, subset));
-  const std::uint64_t salt = mix(settings_.gatewayIndex / kSubsetRound);
-  const std::uint64_t start = settings_.gatewayIndex % kSubsetRound * (UINT64_MAX / kSubsetRound);
-  const auto distance = [&](EndpointId id) { return mix(endpoints_[id].hash ^ salt) - start; };
+  const std::uint64_t salt = mix(settings_.gatewayIndex / kGatewaysPerRound);
+  const std::uint64_t start = settings_.gatewayIndex % kGatewaysPerRound * (UINT64_MAX / kGatewaysPerRound);
+  const auto distance = [&](EndpointId id) { return mix(endpoints_[id].addressHash ^ salt) - start; };
   ordered_ = listed_;
   std::sort(ordered_.begin(), ordered_.end(),
             [&](EndpointId left, EndpointId right) { return distance(left) < distance(right); });
@@ -127,7 +129,7 @@
 double EndpointTable::inFlight() const {
   double sum = 0;
   for (const EndpointId id : listed_)
-    if (endpoints_[id].inService()) sum += endpoints_[id].inFlight;
+    if (endpoints_[id].countsTowardsPool()) sum += endpoints_[id].inFlight;
   return sum;
 }
 
--- a/src/policy/endpoint_table.hpp
+++ b/src/policy/endpoint_table.hpp
@@ -1,4 +1,5 @@
-// The endpoints by id: as listed, in this gateway's order of preference, and as far as they can be reached.
+// Table of the endpoints by id, with the listed ones, this gateway's order of preference among them, and
+// their reachability.
 #pragma once
 
 #include <string_view>
@@ -10,11 +11,12 @@
 
 namespace cairnjunction::policy {
 
+// Functions that take an id require one that was returned by upsert; isKnown accepts any.
 class EndpointTable {
  public:
   struct UpsertResult {
     EndpointId id = kNone;
-    bool restarted = false;  // new, or a new process: what was learned of it is void
+    bool restarted = false;  // new, or a new process: its statistics must be reset
   };
 
   // `settings` must outlive this object.
@@ -23,35 +25,36 @@
   Endpoint& operator[](EndpointId id) { return endpoints_[id]; }
   const Endpoint& operator[](EndpointId id) const { return endpoints_[id]; }
   std::size_t size() const { return endpoints_.size(); }
-  // Whether the id names an endpoint; ids of forgotten ones are free.
+  // Whether the id belongs to an endpoint that has not been forgotten.
   bool isKnown(EndpointId id) const { return id < endpoints_.size() && !endpoints_[id].info.address.empty(); }
   // kNone if no endpoint has this address.
   EndpointId idOf(std::string_view address) const;
 
-  // A list is taken in by markAllRemoved (whole lists only), upsert of each entry and rebuildOrder.
+  // To apply a list, call markAllRemoved (complete lists only), upsert for each entry, then rebuildOrder.
   void markAllRemoved();
   UpsertResult upsert(const EndpointInfo& info, const ClassTable& classes);
   void rebuildOrder();
 
-  // Follows ClassTable::reconfigure, which returned `origins`.
+  // Must be called after ClassTable::reconfigure, with the `origins` that it returned.
   void reconfigure(const ClassTable& classes, const std::vector<std::size_t>& origins);
 
   void setReachability(EndpointId id, Reachability reachability);
 
-  // Forgets an endpoint that is removed and that no attempt of an open request names; returns whether it did.
-  // Until then its zone and cell still bind the repeats of requests that it had.
+  // Forgets the endpoint and frees its id, if it is removed and no attempt of an open request refers to it;
+  // returns whether it did. Until then its zone and cell restrict where its requests may be repeated.
   bool forgetIfUnused(EndpointId id);
 
-  // The active endpoints by address: the same order at every start.
+  // The active endpoints, sorted by address: the order does not depend on the order of arrival.
   const std::vector<EndpointId>& listed() const { return listed_; }
-  // The same, in this gateway's order: its own subset first.
+  // The active endpoints in this gateway's order: its subset first.
   const std::vector<EndpointId>& ordered() const { return ordered_; }
-  // How many of `ordered` this gateway keeps to while one of them is idle.
+  // Size of the subset: the first ones of ordered(), which alone are used while one of them is idle.
   std::size_t subsetSize() const { return subsetSize_; }
-  // How many of `listed` are reachable.
+  // Number of active endpoints that are reachable.
   std::size_t reachableCount() const { return reachableCount_; }
 
-  // Attempts in flight to endpoints in service: one in trouble of its own must not lift the pool's cutoff.
+  // Attempts of this gateway in flight to endpoints that count towards the pool, see countsTowardsPool:
+  // others must not raise the cutoff.
   double inFlight() const;
 
   MachineKind& kindOf(const Endpoint& endpoint) { return machineKinds_[endpoint.machineKind]; }
--- a/src/policy/hedging.cpp
+++ b/src/policy/hedging.cpp
@@ -5,7 +5,7 @@
 namespace cairnjunction::policy {
 namespace {
 
-constexpr double kHedgeAfter = 2.5;  // typical durations of the request
+constexpr double kHedgeDelayFactor = 2.5;  // times the typical latency of the request
 
 }  // namespace
 
@@ -14,7 +14,7 @@
   if (!settings_.hedging || requestClass.settings().idempotency == Idempotency::unsafe ||
       requestClass.typicalLatency() <= 0)
     return std::nullopt;
-  return scaled(requestClass.typicalDuration(request.costRatio), kHedgeAfter);
+  return scaled(requestClass.typicalDuration(request.costRatio), kHedgeDelayFactor);
 }
 
 }  // namespace cairnjunction::policy
--- a/src/policy/hedging.hpp
+++ b/src/policy/hedging.hpp
@@ -1,4 +1,4 @@
-// Hedging: a second attempt beside one that takes long.
+// Hedging: a second, concurrent attempt for a request whose first attempt is slow.
 #pragma once
 
 #include <optional>
@@ -8,14 +8,15 @@
 
 namespace cairnjunction::policy {
 
-// An endpoint that is slow without this gateway knowing it yet would use up a request's whole objective.
-// While there is room, what may run twice is sent to another one too.
+// An endpoint whose slowness this gateway has not yet detected would use up a request's whole latency
+// objective. While the pool has spare capacity, a request that may be repeated is therefore also sent to
+// another endpoint.
 class HedgingPolicy {
  public:
   // `settings` must outlive this object.
   explicit HedgingPolicy(const Settings& settings) : settings_(settings) {}
 
-  // How long after its first attempt a request may be hedged; nullopt: never.
+  // Delay after the first attempt at which the request may be hedged; nullopt: not at all.
   std::optional<Duration> delay(const ActiveRequest& request, const ClassState& requestClass) const;
 
  private:
--- a/src/policy/key_serializer.hpp
+++ b/src/policy/key_serializer.hpp
@@ -1,4 +1,4 @@
-// Serialization by key: requests that name one key run one at a time, in order of arrival.
+// Serialization by key: requests with the same key run one at a time, in order of arrival.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,13 @@
 
 namespace cairnjunction::policy {
 
-// A queue of requests (by slot in the RequestTable) for each key. A request stays in its queue until it is
-// over and all its attempts are settled, and only the head may be sent: two requests of a key are never at
-// the endpoints at once, and they run in order. After an attempt whose end is not known the key cools down,
-// since the attempt may still be running.
+// Keeps a queue of requests (by slot in the RequestTable) for each key. A request stays in its queue until it
+// has ended and all its attempts are settled, and only the head may be sent: so two requests of a key are
+// never in flight at once, and they run in order. An attempt whose outcome is unknown may still be running,
+// so the key then has a cooldown.
 class KeySerializer {
  public:
-  // A queue's head, and when its first attempt may be sent.
+  // First request of a queue, and the earliest time of its first attempt.
   struct Head {
     std::uint32_t slot = 0;
     Timestamp notBefore{};
@@ -25,18 +25,18 @@
 
   // Appends a request to its key's queue; returns how many are ahead of it.
   std::size_t enqueue(std::uint64_t key, std::uint32_t slot);
-  // Takes a request that is over out of its key's queue.
+  // Removes an ended request from its key's queue and marks the key.
   void remove(std::uint64_t key, std::uint32_t slot);
-  // Keeps the key's next request back until then.
+  // Delays the key's next request until `until`.
   void coolDown(std::uint64_t key, Timestamp until) { queues_[key].cooldownUntil = until; }
-  // The head of the key's queue may have become free to run: nextHead will return it.
+  // Marks the key because the head of its queue may be ready to run: nextHead will return it.
   void markChanged(std::uint64_t key) { changedKeys_.push_back(key); }
 
-  // The head of the next key that was marked since; nullopt when all are done. Keys that are marked meanwhile
-  // are returned too.
+  // Unmarks the next marked key and returns the head of its queue; nullopt once no key is marked. Also covers
+  // keys that are marked between calls.
   std::optional<Head> nextHead(Timestamp now);
 
-  // Forgets keys with no request and no cooldown left.
+  // Drops keys without a request or cooldown; must be called once every kUpdateInterval.
   void update(Timestamp now);
 
   std::size_t keyCount() const { return queues_.size(); }
@@ -44,12 +44,12 @@
  private:
   struct KeyQueue {
     std::deque<std::uint32_t> slots;  // in order of arrival
-    Timestamp cooldownUntil{};        // nothing is sent before
+    Timestamp cooldownUntil{};        // no attempt before this time
   };
 
   std::unordered_map<std::uint64_t, KeyQueue> queues_;
-  std::vector<std::uint64_t> changedKeys_;  // marked in this event
-  std::size_t nextChanged_ = 0;             // into changedKeys_
+  std::vector<std::uint64_t> changedKeys_;  // marked keys, in order
+  std::size_t nextChanged_ = 0;             // index of the next key to return
 };
 
 }  // namespace cairnjunction::policy
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -1,19 +1,21 @@
-// The public face of the decisions. Each event sets the clock, goes through the objects concerned in the
-// order below, and ends alike. The order matters: it is that of the random draws and of the actions.
+// Implementation of the public interface; forwards to LoadBalancer::Impl. Each event sets the current time,
+// passes through the objects concerned in the order below, and ends with the same steps. The order matters:
+// it determines the order of the random draws and of the actions.
 //
 // On a request:
-//  - RequestTable, ClassTable (cost, time spent on earlier tries), TrafficRates, RetryBudget;
+//  - RequestTable, ClassTable (cost, time spent on client retries), TrafficRates, RetryBudget;
 //  - TenantQuota, PriorityScorer, AdmissionController;
 //  - the request is rejected, queued by KeySerializer, or sent.
 // To send an attempt:
-//  - RetryPolicy (deadline, attempts left), AdmissionController (whether it is calm);
+//  - RetryPolicy (deadline, attempts left), AdmissionController (spare capacity);
 //  - EndpointPicker, with RetryPolicy, SlowStart, ConnectBackoff, ConnectionAgeTracker and OutlierDetector;
-//  - SlowStart, ConnectionAgeTracker and ResponsivenessMonitor note the send;
-//  - HedgingPolicy sets a timer beside a first attempt.
+//  - SlowStart, ConnectionAgeTracker and ResponsivenessMonitor record the send;
+//  - for a first attempt, HedgingPolicy determines the time of a hedge.
 // On a result:
-//  - by outcome ResponsivenessMonitor, LatencyTracker, TrafficRates, AdmissionController, ConnectBackoff;
+//  - depending on the outcome, ResponsivenessMonitor, LatencyTracker, TrafficRates, AdmissionController,
+//    ConnectBackoff;
 //  - OutlierDetector, ConnectionAgeTracker, KeySerializer (cooldown);
-//  - the request ends, is sent again (RetryPolicy, RetryBudget), or is rejected or failed (RetryPolicy).
+//  - the request ends, is retried (RetryPolicy, RetryBudget), or is rejected or failed (RetryPolicy).
 // On a wake:
 //  - the timers that are due;
 //  - once every kUpdateInterval the statistics: ConnectionAgeTracker, LatencyTracker, ResponsivenessMonitor,
@@ -21,9 +23,9 @@
 //    AdmissionController.
 // On an endpoint list:
 //  - EndpointListPoller, EndpointTable, LoadReports;
-//  - what was learned of an endpoint's previous process is reset.
+//  - for a restarted endpoint, the statistics of its previous process are reset.
 // At the end of every event:
-//  - KeySerializer (heads of queues that became free are sent), EndpointListPoller;
+//  - KeySerializer (sends the heads of queues that have become ready), EndpointListPoller;
 //  - TimerQueue (the next wake-up).
 #include "cairnjunction/load_balancer.hpp"
 
--- a/src/policy/load_balancer_impl.cpp
+++ b/src/policy/load_balancer_impl.cpp
@@ -36,12 +36,12 @@
 // --- Every event
 
 void LoadBalancer::Impl::finishEvent() {
-  dispatchNextByKey();
-  if (poller_.beginPollIfDue(now_)) actions_.pollEndpoints();
+  dispatchReadyKeys();
+  if (poller_.startPollIfDue(now_)) actions_.pollEndpoints();
   scheduleWake();
 }
 
-void LoadBalancer::Impl::dispatchNextByKey() {
+void LoadBalancer::Impl::dispatchReadyKeys() {
   while (const auto head = keys_.nextHead(now_)) {
     ActiveRequest& request = requests_.at(head->slot);
     if (request.ended || request.attemptCount > 0) continue;
@@ -66,7 +66,7 @@
 
 void LoadBalancer::Impl::configure(Timestamp now, Settings settings) {
   now_ = now;
-  // Where and as whom it works was settled at its start, and so was what the connections carry.
+  // The identity of this gateway and the properties of its connections are fixed at construction.
   settings.seed = settings_.seed;
   settings.zone = settings_.zone;
   settings.gatewayIndex = settings_.gatewayIndex;
@@ -99,7 +99,7 @@
     Endpoint& endpoint = endpoints_[result.id];
     if (settings_.loadReports && kind != EndpointListKind::restored)
       loadReports_.record(endpoints_, endpoint);
-    if (result.restarted) resetLearned(endpoint);
+    if (result.restarted) resetStatistics(endpoint);
   }
   endpoints_.rebuildOrder();
   for (EndpointId id = 0; id < endpoints_.size(); ++id) forgetIfUnused(id);
@@ -114,7 +114,7 @@
     if (reachability == Reachability::reachable) {
       if (startedAfter > endpoint.restartedAfter) {
         endpoint.restartedAfter = startedAfter;
-        resetLearned(endpoint);
+        resetStatistics(endpoint);
       }
       ConnectBackoff::allowNow(endpoint, now_);
     }
@@ -127,7 +127,7 @@
   if (endpoints_.isKnown(id)) ConnectionAgeTracker::recordReported(endpoints_[id], open);
 }
 
-void LoadBalancer::Impl::resetLearned(Endpoint& endpoint) {
+void LoadBalancer::Impl::resetStatistics(Endpoint& endpoint) {
   outliers_.reset(endpoint);
   ResponsivenessMonitor::reset(endpoint);
   ConnectBackoff::reset(endpoint);
@@ -141,12 +141,12 @@
   if (endpoints_.forgetIfUnused(id)) actions_.forgetEndpoint(id);
 }
 
-// --- A request, from its arrival to its end
+// --- Requests, from arrival to end
 
 void LoadBalancer::Impl::onRequest(Timestamp now, const Request& arrival) {
   now_ = now;
   if (ActiveRequest* request = requests_.open(arrival.id)) {
-    describe(*request, arrival);
+    initialize(*request, arrival);
     rates_.recordRequest();
     retryBudget_.recordRequest(rates_.requestRate());
     request->score = scorer_.score(priorityWeight(*request, arrival.tenantIndex), random_);
@@ -164,7 +164,7 @@
   finishEvent();
 }
 
-void LoadBalancer::Impl::describe(ActiveRequest& request, const Request& arrival) {
+void LoadBalancer::Impl::initialize(ActiveRequest& request, const Request& arrival) {
   request.classIndex = classes_.indexOf(arrival.classIndex);
   if (arrival.hasKey) request.key = arrival.key;
   request.maxAttempts = arrival.maxAttempts;
@@ -178,8 +178,8 @@
   classes_.recordArrival(request.classIndex, request.costRatio);
 }
 
-// The class's priority weight, reduced if the request is late already or its tenant is over quota. Charges
-// the request to the tenant's quota, so it must be called once for each request.
+// The class's priority weight, reduced if the request is already late or its tenant is over quota. Charges
+// the request to the tenant's quota, so it must be called exactly once per request.
 double LoadBalancer::Impl::priorityWeight(const ActiveRequest& request, std::uint32_t tenantIndex) {
   const ClassSettings& settings = classes_[request.classIndex].settings();
   double weight = settings.priorityWeight;
@@ -192,7 +192,8 @@
   return request.key && classes_[request.classIndex].settings().serializedByKey;
 }
 
-// One that waits in its key's queue until it is too late would hold up the key and fail in the end.
+// Queues the request behind others of its key, or rejects it if it would typically be too late: it would
+// delay the key and fail in the end.
 void LoadBalancer::Impl::enqueueByKey(ActiveRequest& request) {
   const std::size_t ahead = keys_.enqueue(*request.key, request.ref.slot);
   if (ahead > 0 && retryPolicy_.cannotFinishInTime(request, ahead, now_)) return rejectOrFail(request);
@@ -202,29 +203,30 @@
   keys_.markChanged(*request.key);
 }
 
-// Sends the first attempt and sets the timer for a hedge; if none can be sent, rejects or fails the request.
+// Sends the first attempt and schedules the hedge timer; if no attempt can be sent, rejects or fails the
+// request.
 void LoadBalancer::Impl::dispatch(ActiveRequest& request) {
   if (!trySend(request)) return rejectOrFail(request);
   if (const auto delay = hedging_.delay(request, classes_[request.classIndex]))
     timers_.schedule(now_ + *delay, request.ref, TimerKind::hedge);
 }
 
-// Sends an attempt, if one can still be of use and an endpoint may have it.
+// Sends an attempt if its answer can still have value and an endpoint may receive it; returns whether it did.
 bool LoadBalancer::Impl::trySend(ActiveRequest& request) {
   const Timestamp deadline = retryPolicy_.sendDeadline(request);
   if (deadline <= now_ || retryPolicy_.isExhausted(request)) return false;
-  // In an overload, an attempt with less time than an answer takes would gain little, take the place of
-  // others and feed the overload. In calm there is room to try.
-  if (!admission_.isCalm() && retryPolicy_.cannotFinishInTime(request, 0, now_)) return false;
+  // During an overload, an attempt with less time than an answer typically takes is unlikely to succeed,
+  // displaces others and adds to the overload. With spare capacity it may be sent.
+  if (!admission_.hasSpareCapacity() && retryPolicy_.cannotFinishInTime(request, 0, now_)) return false;
   const auto picked = picker_.pick(request, now_);
   if (!picked) return false;
   const EndpointId id = *picked;
   Endpoint& endpoint = endpoints_[id];
   slowStart_.recordSend(endpoint, now_);
-  const ConnectionAgeTracker::Use use = connections_.recordSend(endpoint, now_);
-  if (use.closeStaleFirst) actions_.closeIdle(id);
+  const ConnectionAgeTracker::SendEffect effect = connections_.recordSend(endpoint, now_);
+  if (effect.closeStaleFirst) actions_.closeIdle(id);
   ResponsivenessMonitor::recordSend(endpoint, request.ref);
-  // A probe is one attempt: no other is sent until its end is reported.
+  // A probe is a single attempt: no other is sent until the reachability is reported again.
   if (endpoint.reachability == Reachability::probeOnly) endpoint.reachability = Reachability::unreachable;
   ++endpoint.inFlight;
   ++endpoint.references;
@@ -234,8 +236,8 @@
                               .inFlight = true,
                               .mayHaveExecuted = true,
                               .cancelled = false,
-                              .newConnection = use.newConnection,
-                              .idleStep = use.idleStep};
+                              .newConnection = effect.newConnection,
+                              .idleStep = effect.idleStep};
   ++request.attemptsInFlight;
   actions_.send(request.id, number, id, deadline - now_);
   return true;
@@ -267,7 +269,7 @@
     request.ended = true;
     cancelAttempts(request);
   }
-  if (request.ended) return releaseIfSettled(request);
+  if (request.ended) return closeIfSettled(request);
   if (request.responseStarted || request.attemptsInFlight > 0) return;
   retryOrEnd(request, result);
 }
@@ -277,12 +279,14 @@
     actions_.fail(request.id);
     return end(request);
   }
-  // An attempt that never reached an endpoint cost the pool nothing: its retry is not charged to the budget.
-  const bool neverArrived =
+  // An attempt that never reached an endpoint put no load on the pool: its retry is not charged to the
+  // budget.
+  const bool neverReachedEndpoint =
       result.outcome == Outcome::connectFailed && result.failureReason != FailureReason::unknown;
-  const bool mayRetry = result.outcome != Outcome::notSent && (neverArrived || retryBudget_.allowsRetry());
+  const bool mayRetry =
+      result.outcome != Outcome::notSent && (neverReachedEndpoint || retryBudget_.allowsRetry());
   if (!mayRetry || !trySend(request)) return rejectOrFail(request);
-  if (!neverArrived) retryBudget_.spend();
+  if (!neverReachedEndpoint) retryBudget_.spend();
 }
 
 void LoadBalancer::Impl::onResponseStarted(Timestamp now, RequestId id, std::uint32_t attempt) {
@@ -315,7 +319,7 @@
 void LoadBalancer::Impl::end(ActiveRequest& request) {
   request.ended = true;
   cancelAttempts(request);
-  releaseIfSettled(request);
+  closeIfSettled(request);
 }
 
 void LoadBalancer::Impl::cancelAttempts(ActiveRequest& request, std::uint32_t except) {
@@ -328,7 +332,7 @@
   }
 }
 
-void LoadBalancer::Impl::releaseIfSettled(ActiveRequest& request) {
+void LoadBalancer::Impl::closeIfSettled(ActiveRequest& request) {
   if (!request.ended || request.attemptsInFlight > 0) return;
   if (isSerialized(request)) keys_.remove(*request.key, request.ref.slot);
   requests_.close(request);
@@ -339,27 +343,28 @@
   }
 }
 
-// --- What an outcome tells
+// --- Statistics of outcomes
 
 void LoadBalancer::Impl::recordOutcome(Endpoint& endpoint, const ActiveRequest& request,
                                        const AttemptResult& result) {
   if (recordLocalFailure(endpoint, result)) return;
   ClassState& requestClass = classes_[request.classIndex];
   const double seconds =
-      std::max(toSeconds(result.elapsed), 1e-6);  // zero would make every ratio meaningless
+      std::max(toSeconds(result.elapsed), 1e-6);  // zero would make the latency ratios meaningless
   switch (result.outcome) {
     case Outcome::served: {
       ResponsivenessMonitor::recordResponse(endpoint, now_);
       LatencyTracker::recordAnswer(endpoints_, endpoint, requestClass, request.costRatio, seconds);
-      // Answers count by their work: one by one, heavy answers would make a gateway that only admits a class
-      // of heavy requests take the pool for slow, while other gateways use its share.
+      // Answers are weighted by their work. Counted equally, a gateway that admits only a class of heavy
+      // requests would see a low rate of answers and consider the pool slow, while other gateways use its
+      // capacity.
       const double value = now_ <= request.objectiveAt ? 1 : requestClass.settings().lateValueFraction;
       rates_.recordAnswer(classes_.relativeWork(request.classIndex, request.costRatio) * value);
       break;
     }
     case Outcome::overloaded:
       ResponsivenessMonitor::recordResponse(endpoint, now_);
-      if (!OutlierDetector::isOverloadedForLong(endpoint))
+      if (!OutlierDetector::isPersistentlyOverloaded(endpoint))
         admission_.recordOverload(outliers_.classSuccessWeight(endpoint, request.classIndex));
       break;
     case Outcome::timeout:
@@ -379,13 +384,14 @@
   outliers_.recordOutcome(endpoint, request.classIndex, result, now_);
 }
 
-// True if the attempt never ran, for a known reason that says nothing of how the endpoint serves. It then
-// counts neither in the endpoint's statistics nor in the error rate: only the connect backoff is updated.
+// Returns whether the attempt was not executed for a known reason that is no evidence about the endpoint's
+// health. It then counts neither in the endpoint's statistics nor in the error rate: only the connect backoff
+// is updated.
 bool LoadBalancer::Impl::recordLocalFailure(Endpoint& endpoint, const AttemptResult& result) {
   if (result.outcome != Outcome::connectFailed || result.failureReason == FailureReason::unknown ||
       result.failureReason == FailureReason::connectTimeout)
     return false;
-  // Where other connections are open; else the endpoint is reported as out of reach.
+  // Matters while other connections are open; otherwise the endpoint is reported as unreachable.
   if (result.failureReason == FailureReason::connectionRefused)
     ConnectBackoff::recordFailure(endpoint, now_, random_);
   if (result.failureReason == FailureReason::noDescriptor) connectBackoff_.recordNoDescriptor(now_);
@@ -400,7 +406,7 @@
   connections_.recordOutcome(attempt.idleStep, result.outcome);
 }
 
-// --- Time
+// --- Timers
 
 void LoadBalancer::Impl::onWake(Timestamp now) {
   now_ = now;
@@ -413,11 +419,11 @@
   ActiveRequest* request = requests_.find(timer.request);
   if (!request || request->ended || request->responseStarted) return;
   switch (timer.kind) {
-    case TimerKind::answerDeadline:  // an outcome that never comes would leave the client without an answer
+    case TimerKind::answerDeadline:  // no result arrived in time, and the client must be answered
       rejectOrFail(*request);
       break;
     case TimerKind::hedge:
-      if (request->attemptsInFlight == 1 && admission_.isCalm() && retryBudget_.allowsRetry() &&
+      if (request->attemptsInFlight == 1 && admission_.hasSpareCapacity() && retryBudget_.allowsRetry() &&
           trySend(*request))
         retryBudget_.spend();
       break;
--- a/src/policy/load_balancer_impl.hpp
+++ b/src/policy/load_balancer_impl.hpp
@@ -1,5 +1,5 @@
-// The state behind LoadBalancer: one object for each of its decisions, and the passing of events between
-// them. See load_balancer.cpp for the order in which they are asked.
+// Implementation of LoadBalancer: one object for each kind of decision, and the flow of events between them.
+// See load_balancer.cpp for the order in which they are called.
 #pragma once
 
 #include <string>
@@ -34,11 +34,11 @@
 class LoadBalancer::Impl {
  public:
   Impl(Settings settings, Timestamp now);
-  Impl(const Impl&) = delete;  // its objects refer to each other
+  Impl(const Impl&) = delete;  // its members refer to each other
   Impl& operator=(const Impl&) = delete;
   ~Impl() = default;
 
-  // As those of LoadBalancer.
+  // See the functions of the same names in LoadBalancer.
   void configure(Timestamp now, Settings settings);
   void onEndpoints(Timestamp now, EndpointListKind kind, const std::vector<EndpointInfo>& entries);
   void onRequest(Timestamp now, const Request& arrival);
@@ -55,14 +55,16 @@
   std::size_t activeRequests() const { return requests_.size(); }
 
  private:
-  // What ends every event.
+  // Called at the end of every event.
   void finishEvent();
-  void dispatchNextByKey();
+  void dispatchReadyKeys();
   void scheduleWake();
 
-  // The life of a request.
-  // Fills in the request from its arrival, and counts it in its class's statistics.
-  void describe(ActiveRequest& request, const Request& arrival);
+  // Processing of a request. `settle` records the result of one attempt; `end` marks the request as answered;
+  // `closeIfSettled` releases it once no attempt is in flight.
+
+  // Initializes the request from its arrival, and counts it in the statistics of its class.
+  void initialize(ActiveRequest& request, const Request& arrival);
   double priorityWeight(const ActiveRequest& request, std::uint32_t tenantIndex);
   void enqueueByKey(ActiveRequest& request);
   void dispatch(ActiveRequest& request);
@@ -73,26 +75,26 @@
   void rejectOrFail(ActiveRequest& request);
   void end(ActiveRequest& request);
   void cancelAttempts(ActiveRequest& request, std::uint32_t except = kNone);
-  void releaseIfSettled(ActiveRequest& request);
+  void closeIfSettled(ActiveRequest& request);
   bool isSerialized(const ActiveRequest& request) const;
 
-  // The life of an endpoint.
+  // State of an endpoint.
   void recordOutcome(Endpoint& endpoint, const ActiveRequest& request, const AttemptResult& result);
   bool recordLocalFailure(Endpoint& endpoint, const AttemptResult& result);
   void recordConnectionUse(Endpoint& endpoint, Attempt& attempt, const AttemptResult& result);
   void forgetIfUnused(EndpointId id);
-  void resetLearned(Endpoint& endpoint);
+  void resetStatistics(Endpoint& endpoint);
 
   void onTimer(const Timer& timer);
   void updateStatistics();
 
   Settings settings_;
-  Timestamp now_;  // of the present event
+  Timestamp now_;  // time of the current event
   Timestamp nextUpdate_;
-  Timestamp wakeAt_{};  // the last one asked for
+  Timestamp wakeAt_{};  // time of the last scheduleWake
   Random random_;
   ActionQueue actions_;
-  std::vector<EndpointId> idleEndpoints_;  // scratch of updateStatistics
+  std::vector<EndpointId> idleEndpoints_;  // buffer of updateStatistics
 
   TrafficRates rates_;
   ClassTable classes_;
--- a/src/policy/load_reports.cpp
+++ b/src/policy/load_reports.cpp
@@ -8,20 +8,21 @@
 namespace cairnjunction::policy {
 namespace {
 
-constexpr double kOverloadedBy = 1.5;    // times the median load: too much
-constexpr double kShareReduction = 0.5;  // power of the excess that is taken off the share at each report
-constexpr double kShareRecovery = 1.1;   // factor at each report that is not too much
-constexpr double kSelectionShareLeast = 0.05;  // so that it is still sent some
-constexpr double kWeightLeast = 0.001;
+constexpr double kOverloadedLoadFactor = 1.5;  // a load above this multiple of the median is too high
+constexpr double kOverloadExponent =
+    0.5;  // a report of a load too high divides the weight by the excess to this power
+constexpr double kRecoveryFactor = 1.1;       // factor on the weight at each other report
+constexpr double kMinSelectionWeight = 0.05;  // so that it still receives some requests
+constexpr double kMinListedWeight = 0.001;
 
 }  // namespace
 
 void LoadReports::record(const EndpointTable& endpoints, Endpoint& endpoint) const {
   LoadRecord& report = endpoint.loadReport;
-  report.load = endpoints.kindOf(endpoint).fullWeight / std::max(endpoint.info.weight, kWeightLeast);
-  const double excess = report.load / (kOverloadedBy * medianLoad_);
-  const double change = excess > 1 ? std::pow(excess, -kShareReduction) : kShareRecovery;
-  report.selectionShare = std::clamp(report.selectionShare * change, kSelectionShareLeast, 1.0);
+  report.load = endpoints.kindOf(endpoint).unloadedWeight / std::max(endpoint.info.weight, kMinListedWeight);
+  const double excess = report.load / (kOverloadedLoadFactor * medianLoad_);
+  const double change = excess > 1 ? std::pow(excess, -kOverloadExponent) : kRecoveryFactor;
+  report.selectionWeight = std::clamp(report.selectionWeight * change, kMinSelectionWeight, 1.0);
 }
 
 void LoadReports::update(const EndpointTable& endpoints) {
--- a/src/policy/load_reports.hpp
+++ b/src/policy/load_reports.hpp
@@ -1,23 +1,25 @@
-// Load reports: listed weights that fall with what an endpoint holds of all gateways together.
+// Load reports: listed weights that fall with the load of an endpoint from all gateways together.
 #pragma once
 
 #include "policy/endpoint_table.hpp"
 
 namespace cairnjunction::policy {
 
-// Reports tell what an endpoint held some time ago. Were all gateways to avoid a loaded endpoint at once, it
-// would empty and look best in the next report; so each report moves the share of its draws by a little.
+// Reports describe the load of some time ago. If all gateways avoided a loaded endpoint immediately, it would
+// become idle and have the lowest load in the next report, and so on. So each report changes its selection
+// weight only gradually.
 class LoadReports {
  public:
-  // Takes in the weight of a list; the endpoint's machine kind must know its full weight.
+  // Updates the selection weight from the endpoint's listed weight. EndpointTable::upsert must have been
+  // called before, for the unloaded weight of the machine kind.
   void record(const EndpointTable& endpoints, Endpoint& endpoint) const;
   // The endpoint has a new process.
   static void reset(Endpoint& endpoint) { endpoint.loadReport = LoadRecord{}; }
-  // Updates the median load of the reachable endpoints; to be called once every kUpdateInterval.
+  // Updates the median load of the reachable endpoints; must be called once every kUpdateInterval.
   void update(const EndpointTable& endpoints);
 
  private:
-  double medianLoad_ = 1;
+  double medianLoad_ = 1;  // 1 + requests per core
 };
 
 }  // namespace cairnjunction::policy
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -8,16 +8,18 @@
 namespace cairnjunction::policy {
 namespace {
 
-constexpr int kOverloadsOnEnd = 3;  // this many are no short peak: the endpoint rests
-constexpr Duration kOverloadRest = std::chrono::milliseconds(100);  // a few answer times without load
-constexpr double kFailureGain = 0.12;          // per outcome: five failures in a row make one half
-constexpr double kEjectFailureRate = 0.45;     // ejects,
-constexpr double kEjectOverPeers = 2.5;        // if it is also so many times that of the better quarter
-constexpr double kWellFailureRate = 0.05;      // below it, ejections in a row are forgotten after a while
-constexpr double kClassAtEndpointGain = 0.25;  // per outcome of a class: three failures in a row make a half
-constexpr double kEjectedShareMost = 0.5;      // of the reachable endpoints
-constexpr Duration kEjection = std::chrono::seconds(1);  // doubled with each ejection in a row,
-constexpr int kEjectionDoublings = 3;                    // up to so often
+constexpr int kMinConsecutiveOverloads = 3;  // more than a short peak: the endpoint gets a pause
+constexpr Duration kOverloadBackoff = std::chrono::milliseconds(100);  // a few times the latency without load
+constexpr double kFailureGain = 0.12;  // per outcome: five failures in a row raise the rate to about one half
+constexpr double kEjectFailureRate = 0.45;     // an endpoint with a higher rate is ejected,
+constexpr double kEjectFactorOverPeers = 2.5;  // if its rate also exceeds this multiple of the best quarter's
+constexpr double kRecoveredFailureRate = 0.05;  // below this rate the count of consecutive ejections is reset
+constexpr double kClassFailureRateGain =
+    0.25;  // per outcome of a class: three failures in a row raise it above one half
+constexpr double kMaxEjectedFraction = 0.5;  // of the reachable endpoints
+constexpr Duration kInitialEjectionDuration =
+    std::chrono::seconds(1);              // doubled with each consecutive ejection
+constexpr int kMaxEjectionDoublings = 3;  // limit of the doublings
 
 bool isFailure(Outcome outcome) {
   return outcome == Outcome::timeout || outcome == Outcome::error || outcome == Outcome::connectFailed ||
@@ -26,8 +28,8 @@
 
 }  // namespace
 
-bool OutlierDetector::isOverloadedForLong(const Endpoint& endpoint) {
-  return endpoint.outlier.consecutiveOverloads >= kOverloadsOnEnd;
+bool OutlierDetector::isPersistentlyOverloaded(const Endpoint& endpoint) {
+  return endpoint.outlier.consecutiveOverloads >= kMinConsecutiveOverloads;
 }
 
 void OutlierDetector::recordOutcome(Endpoint& endpoint, std::uint32_t classIndex, const AttemptResult& result,
@@ -36,26 +38,26 @@
   const bool failed = isFailure(result.outcome);
   const bool overloaded = result.outcome == Outcome::overloaded;
   if (result.outcome == Outcome::served) record.consecutiveOverloads = 0;
-  // An endpoint that stays full, or drains unannounced, holds little and would look idle.
-  if (overloaded && ++record.consecutiveOverloads >= kOverloadsOnEnd)
-    record.restUntil = now + scaled(kOverloadRest, 0.5 + random_.unit());
+  // An endpoint that stays overloaded, or drains unannounced, has few attempts in flight and would look idle.
+  if (overloaded && ++record.consecutiveOverloads >= kMinConsecutiveOverloads)
+    record.overloadBackoffUntil = now + scaled(kOverloadBackoff, 0.5 + random_.unit());
 
-  // Malformed responses come from any endpoint alike and are no sign of load. Only one that gives more of
-  // them than its peers is to be avoided, which its failure rate is for.
+  // Malformed responses may come from every endpoint alike and are no sign of load. Only an endpoint that
+  // gives more of them than its peers must be avoided; its failure rate covers this.
   const bool malformed = result.failureReason == FailureReason::malformedResponse;
   record.outcomes += 1;
   if (overloaded || (failed && !malformed)) record.errors += 1;
   if (!overloaded) record.failureRate += kFailureGain * ((failed ? 1.0 : 0.0) - record.failureRate);
   if (result.outcome != Outcome::connectFailed && !malformed) {
-    const bool lost = failed || overloaded;
+    const bool unsuccessful = failed || overloaded;
     double& classRate = record.classFailureRates[classIndex];
-    classRate += kClassAtEndpointGain * ((lost ? 1.0 : 0.0) - classRate);
-    classes_[classIndex].recordOutcome(lost);
+    classRate += kClassFailureRateGain * ((unsuccessful ? 1.0 : 0.0) - classRate);
+    classes_[classIndex].recordOutcome(unsuccessful);
   }
-  if (record.state == EjectionState::probation && !overloaded) endProbation(endpoint, failed, now);
+  if (record.state == EjectionState::probation && !overloaded) concludeProbation(endpoint, failed, now);
 }
 
-void OutlierDetector::endProbation(Endpoint& endpoint, bool failed, Timestamp now) {
+void OutlierDetector::concludeProbation(Endpoint& endpoint, bool failed, Timestamp now) {
   if (failed) {
     eject(endpoint, "trial failed", now);
     return;
@@ -68,8 +70,9 @@
 void OutlierDetector::eject(Endpoint& endpoint, const char* cause, Timestamp now) {
   OutlierRecord& record = endpoint.outlier;
   record.state = EjectionState::ejected;
-  record.ejectedUntil = now + scaled(kEjection * (1 << record.ejections), 0.75 + 0.5 * random_.unit());
-  record.ejections = std::min(record.ejections + 1, kEjectionDoublings);
+  record.ejectedUntil =
+      now + scaled(kInitialEjectionDuration * (1 << record.ejections), 0.75 + 0.5 * random_.unit());
+  record.ejections = std::min(record.ejections + 1, kMaxEjectionDoublings);
   if (actions_.mayLog(now)) actions_.log(now, "host ejected " + endpoint.info.address + " (" + cause + ")");
 }
 
@@ -84,7 +87,7 @@
 
 void OutlierDetector::update(const TrafficRates& rates, Timestamp now) {
   std::vector<double> failureRates;
-  std::size_t away = 0;
+  std::size_t unavailable = 0;
   for (const EndpointId id : endpoints_.listed()) {
     Endpoint& endpoint = endpoints_[id];
     OutlierRecord& record = endpoint.outlier;
@@ -92,24 +95,24 @@
     record.errors *= 1 - rates.fastGain();
     if (record.state == EjectionState::ejected && now >= record.ejectedUntil)
       record.state = EjectionState::probation;
-    if (endpoint.reachability != Reachability::reachable) continue;  // no peer to be compared with
-    if (record.state != EjectionState::healthy) ++away;
+    if (endpoint.reachability != Reachability::reachable) continue;  // not comparable with its peers
+    if (record.state != EjectionState::healthy) ++unavailable;
     failureRates.push_back(record.failureRate);
   }
-  // The better quarter of the pool stands for what is normal: the others may be outliers.
-  const double ofPeers = quantile(failureRates, 0.25, 0);
-  const double awayMost = kEjectedShareMost * static_cast<double>(endpoints_.reachableCount());
+  // The best quarter of the pool defines the normal rate: the others may be outliers.
+  const double peerFailureRate = quantile(failureRates, 0.25, 0);
+  const double maxUnavailable = kMaxEjectedFraction * static_cast<double>(endpoints_.reachableCount());
   for (const EndpointId id : endpoints_.listed()) {
     Endpoint& endpoint = endpoints_[id];
     OutlierRecord& record = endpoint.outlier;
     if (record.state != EjectionState::healthy || endpoint.reachability != Reachability::reachable ||
-        static_cast<double>(away + 1) > awayMost)
+        static_cast<double>(unavailable + 1) > maxUnavailable)
       continue;
-    if (record.failureRate > std::max(kEjectFailureRate, kEjectOverPeers * ofPeers)) {
+    if (record.failureRate > std::max(kEjectFailureRate, kEjectFactorOverPeers * peerFailureRate)) {
       eject(endpoint, "failing", now);
-      ++away;
-    } else if (record.ejections > 0 && record.failureRate < kWellFailureRate &&
-               now > record.ejectedUntil + 4 * kEjection) {
+      ++unavailable;
+    } else if (record.ejections > 0 && record.failureRate < kRecoveredFailureRate &&
+               now > record.ejectedUntil + 4 * kInitialEjectionDuration) {
       record.ejections = 0;
     }
   }
--- a/src/policy/outlier_detection.hpp
+++ b/src/policy/outlier_detection.hpp
@@ -1,4 +1,4 @@
-// Outlier detection: endpoints that fail more than their peers are ejected for a while.
+// Outlier detection: temporarily ejects endpoints that fail more often than their peers.
 #pragma once
 
 #include <algorithm>
@@ -10,45 +10,48 @@
 
 namespace cairnjunction::policy {
 
-// Keeps the failure rates of each endpoint, in all and by class, and its errors for the error rate of the
-// pool. Endpoints are compared with their peers, so that trouble of the whole pool ejects none of them, and
-// at most half of the pool is ejected. An ejected endpoint comes back on probation: one attempt decides.
+// Tracks the failure rates of each endpoint, overall and by class, and its errors for the error rate of the
+// pool. Endpoints are compared with their peers, so that a failure of the whole pool ejects none of them, and
+// at most half of the pool is ejected. After an ejection an endpoint is on probation: one attempt decides
+// whether it is healthy.
 class OutlierDetector {
  public:
-  // All must outlive this object.
+  // All references must outlive this object.
   OutlierDetector(EndpointTable& endpoints, ClassTable& classes, Random& random, ActionQueue& actions)
       : endpoints_(endpoints), classes_(classes), random_(random), actions_(actions) {}
 
-  // Notes the outcome of an attempt that reached the endpoint or should have. To be called for outcomes that
-  // say something of the endpoint: neither for cancelled, notSent and invalidRequest nor for failures of our
-  // own.
+  // Records the outcome of an attempt. Must be called only for outcomes that are evidence about the endpoint:
+  // not for cancelled, notSent and invalidRequest, nor for failures of this gateway itself.
   void recordOutcome(Endpoint& endpoint, std::uint32_t classIndex, const AttemptResult& result,
                      Timestamp now);
-  // It answered `overloaded` so often in a row that this is a fault of its own, no sign of the pool's load.
-  static bool isOverloadedForLong(const Endpoint& endpoint);
+  // Whether the endpoint answered `overloaded` so many times in a row that this indicates a fault of its own
+  // rather than the load of the pool.
+  static bool isPersistentlyOverloaded(const Endpoint& endpoint);
 
-  // Part of its draws that an endpoint keeps for a class: from 1 down as it fails the class more than its
-  // peers do. An endpoint may fail one class and serve the others, which its failure rate over all would
-  // hide.
+  // Class success weight: factor on the probability that the endpoint is picked for the class, from 1 down to
+  // 0.03 the more it fails the class compared with its peers. An endpoint may fail one class and serve the
+  // others, which its overall failure rate would hide.
   double classSuccessWeight(const Endpoint& endpoint, std::uint32_t classIndex) const {
-    const double ofPeers = kClassFailuresOverPeers * classes_[classIndex].failureRate();
-    const double success = 1 - std::max(endpoint.outlier.classFailureRates[classIndex] - ofPeers, 0.0);
-    return std::max(success * success * success, kClassWeightLeast);
+    const double toleratedRate = kClassFailureFactorOverPeers * classes_[classIndex].failureRate();
+    const double success = 1 - std::max(endpoint.outlier.classFailureRates[classIndex] - toleratedRate, 0.0);
+    return std::max(success * success * success, kMinClassSuccessWeight);
   }
 
-  // The endpoint has a new process.
+  // The endpoint has a new process: resets its state and failure rates.
   void reset(Endpoint& endpoint) const;
-  // Ends ejections that are over, and ejects outliers; to be called once every kUpdateInterval.
+  // Puts endpoints whose ejection has expired on probation, and ejects outliers. Must be called once every
+  // kUpdateInterval.
   void update(const TrafficRates& rates, Timestamp now);
 
  private:
-  // Times what its peers fail: more than noise in a trouble of all endpoints.
-  static constexpr double kClassFailuresOverPeers = 1.5;
-  // So that some requests are still sent, which tell when it is well again.
-  static constexpr double kClassWeightLeast = 0.03;
+  // Tolerated multiple of the failure rate over all endpoints, so that noise during a failure of the whole
+  // pool does not count.
+  static constexpr double kClassFailureFactorOverPeers = 1.5;
+  // Above zero, so that some requests are still sent and detect a recovery.
+  static constexpr double kMinClassSuccessWeight = 0.03;
 
   void eject(Endpoint& endpoint, const char* cause, Timestamp now);
-  void endProbation(Endpoint& endpoint, bool failed, Timestamp now);
+  void concludeProbation(Endpoint& endpoint, bool failed, Timestamp now);
 
   EndpointTable& endpoints_;
   ClassTable& classes_;
--- a/src/policy/priority_score.cpp
+++ b/src/policy/priority_score.cpp
@@ -13,12 +13,12 @@
     levels_.insert(levels_.begin() + static_cast<std::ptrdiff_t>(rank), Level{priorityWeight, 0});
   levels_[rank].requests += 1;
   double below = 0;
-  double all = 0;
+  double total = 0;
   for (std::size_t i = 0; i < levels_.size(); ++i) {
-    all += levels_[i].requests;
+    total += levels_[i].requests;
     if (i < rank) below += levels_[i].requests;
   }
-  return 1 + 99 * (below + random.unit() * levels_[rank].requests) / all;
+  return 1 + 99 * (below + random.unit() * levels_[rank].requests) / total;
 }
 
 void PriorityScorer::update() {
--- a/src/policy/priority_score.hpp
+++ b/src/policy/priority_score.hpp
@@ -7,15 +7,16 @@
 
 namespace cairnjunction::policy {
 
-// Ranks priority weights from 1 to 100, so that a cutoff of c rejects about c per cent of the traffic.
+// Maps priority weights to scores from 1 to 100 by rank, so that a cutoff of c rejects about c per cent of
+// the traffic.
 class PriorityScorer {
  public:
-  // Counts a request of this priority weight and returns its score. A draw spreads the requests of one weight
-  // over the band of ranks that they hold together: equal weights share the rejections, and a higher weight
-  // is never rejected before a lower one.
+  // Counts a request of this priority weight (0 or more) and returns its score. A random draw spreads the
+  // requests of one weight evenly over their range of ranks: equal weights share the rejections, and a higher
+  // weight is never rejected before a lower one.
   double score(double priorityWeight, Random& random);
 
-  // Lets the traffic of the past fade, over about ten seconds; to be called once every kUpdateInterval.
+  // Decays the counts of past traffic, over about ten seconds; must be called once every kUpdateInterval.
   void update();
 
  private:
@@ -24,7 +25,7 @@
     double requests = 0;  // decayed count
   };
 
-  std::vector<Level> levels_;  // by rising weight; weights that differ by less than 0.1 % are one level
+  std::vector<Level> levels_;  // in ascending order; weights that differ by less than 0.1 % share a level
 };
 
 }  // namespace cairnjunction::policy
--- a/src/policy/random.hpp
+++ b/src/policy/random.hpp
@@ -7,8 +7,8 @@
 
 namespace cairnjunction::policy {
 
-// Draws that are the same for one seed on every machine. The distributions of the standard library are not
-// used: they differ between its implementations.
+// Random draws that are the same for one seed on every platform. The distributions of the standard library
+// are not used because they differ between its implementations.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : engine_(seed) {}
--- a/src/policy/relative_latency.cpp
+++ b/src/policy/relative_latency.cpp
@@ -7,8 +7,8 @@
 namespace cairnjunction::policy {
 namespace {
 
-constexpr double kLatencyGain = 0.1;   // per answer: over about an endpoint's last ten
-constexpr double kLatencyFade = 0.05;  // per update without requests: over two seconds at least
+constexpr double kLatencyGain = 0.1;       // per answer: over about the last 10 of an endpoint
+constexpr double kIdleLatencyGain = 0.05;  // per update without requests: over at least 2 s
 
 }  // namespace
 
@@ -39,10 +39,11 @@
   for (const EndpointId id : endpoints.listed()) {
     Endpoint& endpoint = endpoints[id];
     LatencyRecord& latency = endpoint.latency;
-    // A latency learned in trouble keeps requests away, and without requests it would never change.
+    // A high latency from a past problem keeps requests away, and without requests it would never change.
     if (latency.answers <= 0 && endpoint.inFlight == 0) {
-      const double ofKind = endpoints.kindOf(endpoint).relativeLatency;
-      latency.relativeLatency += kLatencyFade * rates.sampleConfidence() * (ofKind - latency.relativeLatency);
+      const double kindLatency = endpoints.kindOf(endpoint).relativeLatency;
+      latency.relativeLatency +=
+          kIdleLatencyGain * rates.sampleConfidence() * (kindLatency - latency.relativeLatency);
     }
     if (endpoint.reachability == Reachability::reachable) latencies.push_back(latency.relativeLatency);
   }
--- a/src/policy/relative_latency.hpp
+++ b/src/policy/relative_latency.hpp
@@ -1,4 +1,4 @@
-// Relative latency: how long an endpoint takes against what is typical for the class of the request.
+// Relative latency: latency of an endpoint as a multiple of the typical latency of the request's class.
 #pragma once
 
 #include "policy/endpoint_table.hpp"
@@ -7,21 +7,25 @@
 
 namespace cairnjunction::policy {
 
+// Tracks the relative latency of endpoints and machine kinds.
 class LatencyTracker {
  public:
-  // Notes an answer that took `seconds`.
+  // Records an answer that took `seconds` to a request of this cost ratio.
   static void recordAnswer(EndpointTable& endpoints, Endpoint& endpoint, ClassState& requestClass,
                            double costRatio, double seconds);
-  // Notes an attempt that had no answer in `seconds`: its answer would have taken that long at least.
+  // Records an attempt without an answer within `seconds`, as a lower bound of its latency.
   static void recordTimeout(Endpoint& endpoint, const ClassState& requestClass, double costRatio,
                             double seconds);
-  // The endpoint has a new process, with this share of its capacity: it is taken for one of its kind.
+  // The endpoint has a new process with this fraction of its capacity, above 0 to 1: derives its relative
+  // latency from that of its machine kind.
   static void reset(const EndpointTable& endpoints, Endpoint& endpoint, double capacityFraction);
 
-  // Fades what was learned of endpoints that had no requests since the last update, and updates the median.
+  // Moves the relative latency of endpoints without answers since the last update, and with no attempt in
+  // flight, towards that of their machine kind, and updates the median. Must be called once every
+  // kUpdateInterval.
   void update(EndpointTable& endpoints, const TrafficRates& rates);
 
-  // Of the reachable endpoints, as of the last update; 1 without one.
+  // Of the reachable endpoints, as of the last update; 1 if there is none.
   double medianRelativeLatency() const { return medianRelativeLatency_; }
 
  private:
--- a/src/policy/request_table.cpp
+++ b/src/policy/request_table.cpp
@@ -29,14 +29,14 @@
   request = ActiveRequest{};
   request.id = id;
   request.ref = {slot, generation};
-  request.live = true;
+  request.inUse = true;
   slotOf_.emplace(id, slot);
   return &request;
 }
 
 void RequestTable::close(ActiveRequest& request) {
   slotOf_.erase(request.id);
-  request.live = false;
+  request.inUse = false;
   freeSlots_.push_back(request.ref.slot);
 }
 
@@ -47,12 +47,12 @@
 
 const ActiveRequest* RequestTable::find(RequestRef ref) const {
   const ActiveRequest& request = slots_[ref.slot];
-  return request.live && request.ref.generation == ref.generation ? &request : nullptr;
+  return request.inUse && request.ref.generation == ref.generation ? &request : nullptr;
 }
 
 ActiveRequest* RequestTable::find(RequestRef ref) {
   ActiveRequest& request = slots_[ref.slot];
-  return request.live && request.ref.generation == ref.generation ? &request : nullptr;
+  return request.inUse && request.ref.generation == ref.generation ? &request : nullptr;
 }
 
 const Attempt* RequestTable::attemptInFlight(RequestRef ref, EndpointId endpoint) const {
--- a/src/policy/request_table.hpp
+++ b/src/policy/request_table.hpp
@@ -1,4 +1,4 @@
-// Open requests and their attempts.
+// Table of the open requests and their attempts.
 #pragma once
 
 #include <array>
@@ -12,54 +12,56 @@
 
 namespace cairnjunction::policy {
 
-constexpr std::size_t kAttemptsMost = 8;  // attempts kept for one request
+constexpr std::size_t kMaxAttemptsPerRequest = 8;  // capacity of ActiveRequest::attempts
 
+// An attempt of a request at an endpoint.
 struct Attempt {
   EndpointId endpoint = kNone;
   Timestamp sentAt{};
   bool inFlight = false;
-  bool mayHaveExecuted = false;  // until its result says that it never ran
-  bool cancelled = false;        // its cancellation was asked for
-  bool newConnection = false;    // no open connection had room for it
-  std::size_t idleStep = 0;  // how long its connection lay idle, see ConnectionAgeTracker; 0: new or in use
+  bool mayHaveExecuted = false;  // until its result shows that it was not executed
+  bool cancelled = false;        // an ActionKind::cancel was issued
+  bool newConnection = false;    // no open connection had capacity for it
+  std::size_t idleStep = 0;      // idle time of its connection, see ConnectionAgeTracker; 0: new or in use
 };
 
 // A request from its arrival until it is answered and all its attempts are settled.
 struct ActiveRequest {
   RequestId id = 0;
-  RequestRef ref;                // its place in the RequestTable
+  RequestRef ref;                // its slot in the RequestTable
   std::uint32_t classIndex = 0;  // into the ClassTable
-  Timestamp deadline{};          // the client leaves then
+  Timestamp deadline{};          // the client times out at this time
   Timestamp objectiveAt{};       // an answer after this is late
-  double costRatio = 1;          // expected cost against the class's mean
+  double costRatio = 1;          // expected cost as a multiple of the class's mean
   double score = 0;              // priority score: 1 to 100
   std::optional<std::uint64_t> key;
-  bool live = false;             // the slot is in use
-  bool ended = false;            // answered, or its client left; attempts may still be in flight
-  bool responseStarted = false;  // the client has part of an answer: no other attempt may be sent
-  std::array<Attempt, kAttemptsMost> attempts;
-  std::uint32_t attemptCount = 0;             // of `attempts` that were sent
-  std::uint32_t attemptsInFlight = 0;         // of those: not settled
-  std::uint32_t maxAttempts = kAttemptsMost;  // by the request itself
+  bool inUse = false;            // the slot is in use
+  bool ended = false;            // answered, or its client disconnected; attempts may still be in flight
+  bool responseStarted = false;  // the client has received part of an answer: no more attempts
+  std::array<Attempt, kMaxAttemptsPerRequest> attempts;
+  std::uint32_t attemptCount = 0;                      // number of entries of `attempts` in use
+  std::uint32_t attemptsInFlight = 0;                  // number of those that are not settled
+  std::uint32_t maxAttempts = kMaxAttemptsPerRequest;  // limit set by the request itself
 
-  // Whether any attempt so far may have run at its endpoint.
+  // Whether any attempt so far may have been executed.
   bool mayHaveExecuted() const;
   // Whether an attempt was sent to this endpoint.
   bool wasSentTo(EndpointId endpoint) const;
 };
 
-// Keeps open requests in slots that are used again. References stay valid until the next open().
+// Stores open requests in slots, which are reused. References to requests stay valid until the next open().
 class RequestTable {
  public:
-  // Opens a request; nullptr if one of this id is open.
+  // Opens a request; nullptr if one with this id is already open.
   ActiveRequest* open(RequestId id);
-  // Gives a request's slot on. What it held can be read until the next open().
+  // Closes a request and frees its slot. Its members stay readable until the next open().
   void close(ActiveRequest& request);
 
-  // The open request of this id, or nullptr.
+  // The open request with this id, or nullptr.
   ActiveRequest* find(RequestId id);
+  // `slot` must be in use.
   ActiveRequest& at(std::uint32_t slot) { return slots_[slot]; }
-  // The request that `ref` names, or nullptr if it was closed.
+  // The request that `ref` refers to, or nullptr if it has been closed.
   ActiveRequest* find(RequestRef ref);
   const ActiveRequest* find(RequestRef ref) const;
   // The attempt of that request that is in flight to this endpoint, or nullptr.
@@ -69,13 +71,13 @@
   template <class Visitor>
   void forEach(Visitor visit) {
     for (ActiveRequest& request : slots_)
-      if (request.live) visit(request);
+      if (request.inUse) visit(request);
   }
 
  private:
   std::vector<ActiveRequest> slots_;
   std::vector<std::uint32_t> freeSlots_;
-  std::unordered_map<RequestId, std::uint32_t> slotOf_;  // the live slots
+  std::unordered_map<RequestId, std::uint32_t> slotOf_;  // the slots in use
 };
 
 }  // namespace cairnjunction::policy
--- a/src/policy/responsiveness.cpp
+++ b/src/policy/responsiveness.cpp
@@ -7,9 +7,9 @@
 namespace cairnjunction::policy {
 namespace {
 
-constexpr double kSilenceFactor = 4;  // times the typical latency of the endpoint,
-constexpr Duration kSilenceLeast =
-    std::chrono::milliseconds(150);  // and at least this: short pauses are normal
+constexpr double kUnresponsiveFactor = 4;  // multiple of the endpoint's typical latency
+constexpr Duration kMinUnresponsiveTime =
+    std::chrono::milliseconds(150);  // lower bound: short pauses are normal
 
 }  // namespace
 
@@ -19,14 +19,15 @@
     Endpoint& endpoint = endpoints[id];
     ResponsivenessRecord& record = endpoint.responsiveness;
     const Attempt* oldest = nullptr;
-    while (!record.sent.empty()) {
-      oldest = requests.attemptInFlight(record.sent.front(), id);
+    while (!record.sentRequests.empty()) {
+      oldest = requests.attemptInFlight(record.sentRequests.front(), id);
       if (oldest) break;
-      record.sent.pop_front();
+      record.sentRequests.pop_front();
     }
     const double slowness = std::max(1.0, endpoint.latency.relativeLatency);
     const Duration limit =
-        std::max(kSilenceLeast, scaled(std::chrono::seconds(1), kSilenceFactor * typicalLatency * slowness));
+        std::max(kMinUnresponsiveTime,
+                 scaled(std::chrono::seconds(1), kUnresponsiveFactor * typicalLatency * slowness));
     record.unresponsive = oldest != nullptr && now - std::max(record.lastResponseAt, oldest->sentAt) > limit;
   }
 }
--- a/src/policy/responsiveness.hpp
+++ b/src/policy/responsiveness.hpp
@@ -1,4 +1,4 @@
-// Responsiveness: endpoints that hold attempts and have said nothing for long.
+// Responsiveness: detects endpoints that have attempts in flight and have not responded for a long time.
 #pragma once
 
 #include "policy/endpoint_table.hpp"
@@ -6,22 +6,24 @@
 
 namespace cairnjunction::policy {
 
-// A paused or lost endpoint would gather requests until they time out. One that has been silent for several
-// times of what its oldest attempt should take counts as unresponsive, and is sent nothing until it is heard
-// of.
+// A paused or lost endpoint would accumulate requests until they time out. An endpoint that has not responded
+// for several times the typical latency while an attempt is in flight is unresponsive: it receives no
+// attempts until it responds, or none of its attempts is in flight any longer.
 class ResponsivenessMonitor {
  public:
+  // Records that an attempt of this request is sent to the endpoint.
   static void recordSend(Endpoint& endpoint, RequestRef request) {
-    endpoint.responsiveness.sent.push_back(request);
+    endpoint.responsiveness.sentRequests.push_back(request);
   }
-  // The endpoint has said anything at all.
+  // The endpoint sent a response of any kind.
   static void recordResponse(Endpoint& endpoint, Timestamp now) {
     endpoint.responsiveness.lastResponseAt = now;
   }
-  // The endpoint has a new process.
+  // The endpoint has a new process: it counts as responsive.
   static void reset(Endpoint& endpoint) { endpoint.responsiveness.unresponsive = false; }
 
-  // To be called once every kUpdateInterval. `typicalLatency`: seconds, over all classes.
+  // Updates which endpoints are unresponsive; must be called once every kUpdateInterval. `typicalLatency`:
+  // mean over all classes, in seconds.
   static void update(EndpointTable& endpoints, const RequestTable& requests, double typicalLatency,
                      Timestamp now);
 };
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -7,9 +7,9 @@
 namespace cairnjunction::policy {
 namespace {
 
-constexpr double kRetryAfterLeast = 0.1;  // of the longest: also the highest score stays away for a little
+constexpr double kMinRetryAfterFraction = 0.1;  // of maxRetryAfter: lower bound, for the highest scores
 constexpr double kRetriesPerRequest = 0.3;
-constexpr double kRetriesSaved = 3;  // retries that may be saved up, beyond those of a second
+constexpr double kMaxSavedRetries = 3;  // tokens that may accumulate beyond those of one second
 
 }  // namespace
 
@@ -30,7 +30,7 @@
 
 bool RetryPolicy::isExhausted(const ActiveRequest& request) const {
   return request.attemptCount >=
-         std::min<std::size_t>({settings_.maxAttempts, request.maxAttempts, kAttemptsMost});
+         std::min<std::size_t>({settings_.maxAttempts, request.maxAttempts, kMaxAttemptsPerRequest});
 }
 
 Timestamp RetryPolicy::sendDeadline(const ActiveRequest& request) const {
@@ -54,14 +54,14 @@
 
 Duration RetryPolicy::retryAfter(const ActiveRequest& request, Random& random) const {
   if (!settings_.retryAfterAllowed) return {};
-  const double share = std::max(1 - request.score / 100, kRetryAfterLeast);
+  const double share = std::max(1 - request.score / 100, kMinRetryAfterFraction);
   return scaled(settings_.maxRetryAfter, share * (0.5 + 0.5 * random.unit()));
 }
 
-RetryBudget::RetryBudget() : tokens_(kRetriesSaved) {}
+RetryBudget::RetryBudget() : tokens_(kMaxSavedRetries) {}
 
 void RetryBudget::recordRequest(double requestRate) {
-  tokens_ = std::min(tokens_ + kRetriesPerRequest, kRetriesSaved + kRetriesPerRequest * requestRate);
+  tokens_ = std::min(tokens_ + kRetriesPerRequest, kMaxSavedRetries + kRetriesPerRequest * requestRate);
 }
 
 }  // namespace cairnjunction::policy
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -1,4 +1,5 @@
-// Retries: what may be sent again, where and until when, and how many retries there may be.
+// Retries: which requests may be retried, at which endpoints and until when, and how many retries are
+// allowed.
 #pragma once
 
 #include "policy/endpoint_table.hpp"
@@ -7,36 +8,37 @@
 
 namespace cairnjunction::policy {
 
-// The rules on a single request, by the idempotency of its class.
+// Rules for retries of a single request, by the idempotency of its class.
 class RetryPolicy {
  public:
-  // Both must outlive this object.
+  // All references must outlive this object.
   RetryPolicy(const Settings& settings, const ClassTable& classes, const EndpointTable& endpoints)
       : settings_(settings), classes_(classes), endpoints_(endpoints) {}
 
-  // Whether the endpoint may be sent an attempt: the class's placement allows it, and either no earlier
-  // attempt may have executed, or repeats do no harm there (safe classes), or the endpoint drops repeats of
-  // them (keyed classes: within the scope and the window of the deduplication).
+  // Whether an attempt may be sent to the endpoint: the class allows its zone and machine kind, and either no
+  // earlier attempt may have been executed, or the class is safe, or the class is keyed and the endpoint
+  // deduplicates the earlier attempts (same dedup scope, within the dedup window).
   bool mayRunAt(const ActiveRequest& request, const Endpoint& endpoint, Timestamp now) const {
     if (!endpoint.allowedForClass[request.classIndex]) return false;
     return request.attemptCount == 0 || mayRepeatAt(request, endpoint, now);
   }
 
-  // Whether the request has had all the attempts that it may have.
+  // Whether the request has used all its allowed attempts.
   bool isExhausted(const ActiveRequest& request) const;
 
-  // Latest time at which an attempt's answer still has value and reaches the client.
+  // Latest time at which an answer can arrive here, still have value and reach the client in time.
   Timestamp sendDeadline(const ActiveRequest& request) const;
 
-  // Whether the request, with so many of its key ahead of it, would typically end after its send deadline.
+  // Whether the request, with `ahead` requests of its key before it, would typically end after its send
+  // deadline.
   bool cannotFinishInTime(const ActiveRequest& request, std::size_t ahead, Timestamp now) const;
 
-  // Whether the client may be told that it can safely send the request again. If not, the request has to
-  // fail.
+  // Whether the request may be rejected, which tells the client that it can safely be repeated. If not, it
+  // must be failed.
   bool isSafeToReject(const ActiveRequest& request) const;
 
-  // When a rejected client may come again: later the lower the score, jittered lest all come in one moment.
-  // Zero where clients take no such hint; without a draw then.
+  // Retry-After for a rejected client: longer the lower the score, with jitter so that clients do not return
+  // simultaneously. Zero, without a random draw, if clients do not honour Retry-After.
   Duration retryAfter(const ActiveRequest& request, Random& random) const;
 
  private:
@@ -47,15 +49,16 @@
   const EndpointTable& endpoints_;
 };
 
-// Limits retries to a share of the requests, so that they cannot feed an overload. Retries of what never came
-// to an endpoint are not counted by the caller: they cost the pool nothing.
+// Limits retries and hedges to a fraction of the requests, so that they cannot add to an overload. The caller
+// does not charge retries of attempts that never reached an endpoint: they put no load on the pool.
 class RetryBudget {
  public:
   RetryBudget();
 
-  // A request has come. `requestRate`: requests a second.
+  // A request has arrived. `requestRate`: requests per second.
   void recordRequest(double requestRate);
   bool allowsRetry() const { return tokens_ >= 1; }
+  // Charges one retry or hedge.
   void spend() { tokens_ -= 1; }
 
  private:
--- a/src/policy/settings_validation.cpp
+++ b/src/policy/settings_validation.cpp
@@ -6,8 +6,8 @@
 namespace cairnjunction::policy {
 namespace {
 
-void require(bool good, const std::string& what) {
-  if (!good) throw std::invalid_argument("settings: " + what);
+void require(bool condition, const std::string& message) {
+  if (!condition) throw std::invalid_argument("settings: " + message);
 }
 
 }  // namespace
--- a/src/policy/settings_validation.hpp
+++ b/src/policy/settings_validation.hpp
@@ -1,10 +1,11 @@
-// Rejects settings that make no sense, before any decision is taken on them.
+// Validation of settings, before any decision depends on them.
 #pragma once
 
 #include "cairnjunction/load_balancer.hpp"
 
 namespace cairnjunction::policy {
 
-void validate(const Settings& settings);  // throws std::invalid_argument that names the setting
+// Throws std::invalid_argument, whose text names the first invalid setting by its key in the configuration.
+void validate(const Settings& settings);
 
 }  // namespace cairnjunction::policy
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -7,11 +7,12 @@
 namespace cairnjunction::policy {
 namespace {
 
-// Per update: proven rates fade over half a minute. In a deployment of nearly all endpoints the last ones
-// past their start are overloaded, and by their sinking rates the started ones, which could help, would be
-// sent nothing.
-constexpr double kProvenDecay = 0.997;
-constexpr double kCollapseMargin = 0.45;  // share of collapseLoadFactor that all gateways together may send
+// Per update: peak rates decay over about half a minute. When a rollout restarts nearly all endpoints, the
+// few remaining ones past slow start are overloaded and their answer rates fall; without the slow decay, the
+// newly started endpoints, which could take load, would get no tokens.
+constexpr double kPeakAnswerRateDecay = 0.997;
+constexpr double kCollapseLoadFraction =
+    0.45;  // fraction of collapseLoadFactor that all gateways together may send
 
 }  // namespace
 
@@ -24,15 +25,16 @@
 
 double SlowStart::refill(Endpoint& endpoint, const EndpointTable& endpoints, Timestamp now) const {
   const double window = std::max(toSeconds(settings_.collapseWindow), 0.1);
-  // Where none of its kind past slow start was seen, e.g. after a start of our own: an even share of the
-  // requests.
+  // Used while no endpoint of the kind past slow start has been measured, e.g. after a start of this gateway:
+  // an even part of the requests.
   const double evenShare =
       rates_.requestRate() / static_cast<double>(std::max<std::size_t>(endpoints.subsetSize(), 1));
-  const double provenRate = endpoints.kindOf(endpoint).provenRate;
-  const double carried = provenRate > 0 ? provenRate : evenShare;
-  // Less where few requests come: the picker spends the tokens first there.
-  const double margin = kCollapseMargin * (2 + rates_.sampleConfidence()) / 3;
-  const double rate = carried * capacityFraction(endpoint, now) * margin * settings_.collapseLoadFactor;
+  const double peakAnswerRate = endpoints.kindOf(endpoint).peakAnswerRate;
+  const double sustainableRate = peakAnswerRate > 0 ? peakAnswerRate : evenShare;
+  // Lower where requests are rare, because the picker then prefers endpoints in slow start.
+  const double margin = kCollapseLoadFraction * (2 + rates_.sampleConfidence()) / 3;
+  const double rate =
+      sustainableRate * capacityFraction(endpoint, now) * margin * settings_.collapseLoadFactor;
   SlowStartRecord& bucket = endpoint.slowStart;
   bucket.tokens =
       std::min(bucket.tokens + rate * toSeconds(now - bucket.refilledAt), std::max(1.0, rate * window / 4));
@@ -58,8 +60,8 @@
   const std::vector<EndpointId>& ordered = endpoints.ordered();
   for (std::size_t i = 0; i < ordered.size(); ++i) {
     Endpoint& endpoint = endpoints[ordered[i]];
-    // Beyond the subset an endpoint is sent little.
-    if (i < endpoints.subsetSize() && !isActive(endpoint, now) && endpoint.inService()) {
+    // Endpoints outside the subset receive few requests, so their rates show nothing.
+    if (i < endpoints.subsetSize() && !isActive(endpoint, now) && endpoint.countsTowardsPool()) {
       MachineKind& kind = endpoints.kindOf(endpoint);
       kind.answers += endpoint.latency.answers;
       kind.endpoints += 1;
@@ -71,7 +73,7 @@
       const double rate = kind.answers / kind.endpoints / toSeconds(kUpdateInterval);
       kind.answerRate += rates_.fastGain() * (rate - kind.answerRate);
     }
-    kind.provenRate = std::max(kind.answerRate, kind.provenRate * kProvenDecay);
+    kind.peakAnswerRate = std::max(kind.answerRate, kind.peakAnswerRate * kPeakAnswerRateDecay);
   }
 }
 
--- a/src/policy/tenant_quota.hpp
+++ b/src/policy/tenant_quota.hpp
@@ -1,4 +1,4 @@
-// Quotas of tenants: what a tenant sends beyond its quota loses priority.
+// Tenant quotas: requests beyond their tenant's quota lose priority.
 #pragma once
 
 #include <cstdint>
@@ -8,18 +8,19 @@
 
 namespace cairnjunction::policy {
 
-// A token bucket for each tenant with a quota. It fills by this gateway's part of the quota and holds one
-// second's worth of it.
+// A token bucket for each tenant. It fills at this gateway's part of the quota and holds at most the tokens
+// of one second.
 class TenantQuota {
  public:
-  // `settings` must outlive this object; buckets start empty.
+  // `settings` must outlive this object; `now` is the current time. Buckets start empty.
   TenantQuota(const Settings& settings, Timestamp now);
 
-  // Counts a request against its tenant's quota. Returns whether it is within the quota; true for a tenant
-  // that is unknown or has none.
+  // Charges a request to its tenant's quota. Returns whether it is within the quota; true for an unknown
+  // tenant or one without a quota.
   bool admit(std::uint32_t tenantIndex, Timestamp now);
 
-  // Follows a change of the tenants in the settings: buckets stay by index, new ones start empty.
+  // Must be called after the tenants in the settings have changed. Buckets keep their index; new ones start
+  // empty.
   void resize(std::size_t tenantCount) { tokens_.resize(tenantCount, 0); }
 
  private:
@@ -27,7 +28,7 @@
   double quotaOfThisGateway(std::size_t tenantIndex) const;  // requests a second
 
   const Settings& settings_;
-  std::vector<double> tokens_;  // by tenant index: requests that may still be sent
+  std::vector<double> tokens_;  // by tenant index: requests within the quota
   Timestamp refilledAt_;
 };
 
--- a/src/policy/traffic_rates.cpp
+++ b/src/policy/traffic_rates.cpp
@@ -7,13 +7,16 @@
 namespace cairnjunction::policy {
 namespace {
 
-constexpr double kSteadyRate = 80;  // requests a second that make half a second's sample steady enough
+constexpr double kFullConfidenceRate =
+    80;  // requests per second from which on half a second's sample is reliable
 
 }  // namespace
 
-TrafficRates::TrafficRates() : requestRate_(kSteadyRate) {}
+TrafficRates::TrafficRates() : requestRate_(kFullConfidenceRate) {}
 
-double TrafficRates::sampleConfidence() const { return std::clamp(requestRate_ / kSteadyRate, 0.05, 1.0); }
+double TrafficRates::sampleConfidence() const {
+  return std::clamp(requestRate_ / kFullConfidenceRate, 0.05, 1.0);
+}
 
 void TrafficRates::update() {
   answerRate_ += fastGain() * (answers_ / toSeconds(kUpdateInterval) - answerRate_);
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -36,7 +36,7 @@
   holdInFlight(2);
   run(50, 10);
   EXPECT_EQ(admission.cutoff(), 0);
-  EXPECT_TRUE(admission.isCalm());
+  EXPECT_TRUE(admission.hasSpareCapacity());
 }
 
 TEST_F(Admission, TheCutoffIsTheCubeOfTheOverload) {
@@ -44,7 +44,7 @@
   holdInFlight(4);  // 16 of 18: (16/18 - 0.5) / 0.5 = 0.78
   run(30, 10);
   EXPECT_NEAR(admission.cutoff(), 100 * 0.78 * 0.78 * 0.78, 2);
-  EXPECT_FALSE(admission.isCalm());
+  EXPECT_FALSE(admission.hasSpareCapacity());
 }
 
 TEST_F(Admission, ErrorsOfThePoolAloneRaiseTheCutoff) {
--- a/tests/policy/connect_backoff_test.cpp
+++ b/tests/policy/connect_backoff_test.cpp
@@ -25,10 +25,10 @@
 
 TEST(ConnectBackoff, WithoutDescriptorsNothingIsConnectedForAMoment) {
   ConnectBackoff backoff;
-  EXPECT_TRUE(backoff.mayConnectAtAll(kStart));
+  EXPECT_TRUE(backoff.hasDescriptors(kStart));
   backoff.recordNoDescriptor(kStart);
-  EXPECT_FALSE(backoff.mayConnectAtAll(kStart));
-  EXPECT_TRUE(backoff.mayConnectAtAll(kStart + milliseconds(20)));
+  EXPECT_FALSE(backoff.hasDescriptors(kStart));
+  EXPECT_TRUE(backoff.hasDescriptors(kStart + milliseconds(20)));
 }
 
 }  // namespace
--- a/tests/policy/connection_age_test.cpp
+++ b/tests/policy/connection_age_test.cpp
@@ -9,8 +9,8 @@
 
 struct ConnectionAge : ::testing::Test {
   // An attempt that is sent and ends at once, on a connection that lay idle as long as the endpoint.
-  ConnectionAgeTracker::Use use(Timestamp at, Outcome outcome) {
-    const ConnectionAgeTracker::Use used = tracker.recordSend(endpoint, at);
+  ConnectionAgeTracker::SendEffect use(Timestamp at, Outcome outcome) {
+    const ConnectionAgeTracker::SendEffect used = tracker.recordSend(endpoint, at);
     tracker.recordOutcome(used.idleStep, outcome);
     return used;
   }
@@ -22,7 +22,7 @@
 };
 
 TEST_F(ConnectionAge, AConnectionIsOpenedWhereNoneHasRoom) {
-  EXPECT_FALSE(tracker.hasRoom(endpoint, kStart));
+  EXPECT_FALSE(tracker.hasCapacity(endpoint, kStart));
   EXPECT_TRUE(use(kStart, Outcome::served).newConnection);
   EXPECT_EQ(endpoint.connections.open, 1);
   EXPECT_FALSE(use(kStart, Outcome::served).newConnection);
@@ -43,8 +43,8 @@
 TEST_F(ConnectionAge, ConnectionsEndWithTheIdleTimeout) {
   pool.settings.idleTimeout = seconds(2);
   use(kStart, Outcome::served);
-  EXPECT_TRUE(tracker.hasRoom(endpoint, kStart + seconds(1)));
-  EXPECT_FALSE(tracker.hasRoom(endpoint, kStart + seconds(2)));
+  EXPECT_TRUE(tracker.hasCapacity(endpoint, kStart + seconds(1)));
+  EXPECT_FALSE(tracker.hasCapacity(endpoint, kStart + seconds(2)));
 }
 
 // A firewall drops connections after a second without traffic and tells neither end. What is sent on one is
@@ -54,14 +54,14 @@
   bool closed = false;
   for (int i = 0; i < 10 && !closed; ++i) {
     now += seconds(1);
-    const ConnectionAgeTracker::Use used = tracker.recordSend(endpoint, now);
+    const ConnectionAgeTracker::SendEffect used = tracker.recordSend(endpoint, now);
     closed = used.closeStaleFirst;
     tracker.recordOutcome(used.idleStep, closed ? Outcome::served : Outcome::timeout);
   }
   EXPECT_TRUE(closed);
-  EXPECT_TRUE(tracker.hasFreshRoom(endpoint, now + milliseconds(100)));
-  EXPECT_FALSE(tracker.hasFreshRoom(endpoint, now + seconds(1)));
-  EXPECT_FALSE(tracker.hasFreshRoom(endpoint, now + seconds(10))) << "a longer wait is no safer";
+  EXPECT_TRUE(tracker.hasFreshCapacity(endpoint, now + milliseconds(100)));
+  EXPECT_FALSE(tracker.hasFreshCapacity(endpoint, now + seconds(1)));
+  EXPECT_FALSE(tracker.hasFreshCapacity(endpoint, now + seconds(10))) << "a longer wait is no safer";
 }
 
 TEST(ConnectionAgeUpdate, ConnectionsBeyondTheSubsetAreGivenBack) {
--- a/tests/policy/endpoint_list_poller_test.cpp
+++ b/tests/policy/endpoint_list_poller_test.cpp
@@ -19,16 +19,16 @@
 TEST(EndpointListPoller, PollsOnceAndThenWaitsForUpdates) {
   const Settings settings = polling();
   EndpointListPoller poller(settings);
-  EXPECT_TRUE(poller.beginPollIfDue(kStart));
-  EXPECT_FALSE(poller.beginPollIfDue(kStart + seconds(1)));
+  EXPECT_TRUE(poller.startPollIfDue(kStart));
+  EXPECT_FALSE(poller.startPollIfDue(kStart + seconds(1)));
   poller.onList(EndpointListKind::replace, kStart + seconds(1));
-  EXPECT_FALSE(poller.beginPollIfDue(kStart + seconds(3600)));
+  EXPECT_FALSE(poller.startPollIfDue(kStart + seconds(3600)));
 }
 
 TEST(EndpointListPoller, NeverPollsWhereListsComeByThemselves) {
   const Settings settings = makeSettings();
   EndpointListPoller poller(settings);
-  EXPECT_FALSE(poller.beginPollIfDue(kStart));
+  EXPECT_FALSE(poller.startPollIfDue(kStart));
 }
 
 TEST(EndpointListPoller, BacksOffWithJitterUpToAFifthOfTheLongestSilence) {
@@ -37,10 +37,10 @@
   Random random(1);
   Timestamp now = kStart;
   for (int failure = 0; failure < 20; ++failure) {
-    ASSERT_TRUE(poller.beginPollIfDue(now));
+    ASSERT_TRUE(poller.startPollIfDue(now));
     poller.onUnavailable(now, random);
     const Timestamp failedAt = now;
-    while (!poller.beginPollIfDue(now)) now += milliseconds(10);
+    while (!poller.startPollIfDue(now)) now += milliseconds(10);
     EXPECT_GE(now - failedAt, milliseconds(500));
     EXPECT_LE(now - failedAt, milliseconds(3010));
     poller.onUnavailable(now, random);
@@ -52,9 +52,9 @@
 TEST(EndpointListPoller, APollWithoutAnAnswerIsRepeated) {
   const Settings settings = polling();
   EndpointListPoller poller(settings);
-  EXPECT_TRUE(poller.beginPollIfDue(kStart));
-  EXPECT_FALSE(poller.beginPollIfDue(kStart + seconds(5)));
-  EXPECT_TRUE(poller.beginPollIfDue(kStart + seconds(6)));
+  EXPECT_TRUE(poller.startPollIfDue(kStart));
+  EXPECT_FALSE(poller.startPollIfDue(kStart + seconds(5)));
+  EXPECT_TRUE(poller.startPollIfDue(kStart + seconds(6)));
 }
 
 }  // namespace
--- a/tests/policy/endpoint_picker_test.cpp
+++ b/tests/policy/endpoint_picker_test.cpp
@@ -62,7 +62,7 @@
 TEST_F(Picker, EndpointsInTroubleAreLeftOut) {
   pool.endpoints[0].outlier.state = EjectionState::ejected;
   pool.endpoints[1].responsiveness.unresponsive = true;
-  pool.endpoints[2].outlier.restUntil = kStart + milliseconds(1);
+  pool.endpoints[2].outlier.overloadBackoffUntil = kStart + milliseconds(1);
   const auto picked = pickMany(pool.open());
   EXPECT_EQ(picked.size(), 1U);
   EXPECT_EQ(picked.count(3), 1U);
--- a/tests/policy/load_reports_test.cpp
+++ b/tests/policy/load_reports_test.cpp
@@ -15,12 +15,12 @@
   Endpoint& endpoint = pool.endpoints[0];
   endpoint.info.weight = 1 / 6.0;  // full weight 1: a load of 6, four times what is too much
   reports.record(pool.endpoints, endpoint);
-  EXPECT_NEAR(endpoint.loadReport.selectionShare, 0.5, 1e-9);
+  EXPECT_NEAR(endpoint.loadReport.selectionWeight, 0.5, 1e-9);
   for (int i = 0; i < 100; ++i) reports.record(pool.endpoints, endpoint);
-  EXPECT_EQ(endpoint.loadReport.selectionShare, 0.05) << "it is still sent some";
+  EXPECT_EQ(endpoint.loadReport.selectionWeight, 0.05) << "it is still sent some";
   endpoint.info.weight = 1;
   for (int i = 0; i < 100; ++i) reports.record(pool.endpoints, endpoint);
-  EXPECT_EQ(endpoint.loadReport.selectionShare, 1);
+  EXPECT_EQ(endpoint.loadReport.selectionWeight, 1);
 }
 
 }  // namespace
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -71,13 +71,13 @@
 TEST(OutlierDetector, AnEndpointThatTurnsAwayOnEndRests) {
   Pool pool(1);
   pool.record(0, Outcome::overloaded, 2);
-  EXPECT_EQ(pool.endpoints[0].outlier.restUntil, Timestamp{});
-  EXPECT_FALSE(OutlierDetector::isOverloadedForLong(pool.endpoints[0]));
+  EXPECT_EQ(pool.endpoints[0].outlier.overloadBackoffUntil, Timestamp{});
+  EXPECT_FALSE(OutlierDetector::isPersistentlyOverloaded(pool.endpoints[0]));
   pool.record(0, Outcome::overloaded, 1);
-  EXPECT_GT(pool.endpoints[0].outlier.restUntil, kStart);
-  EXPECT_TRUE(OutlierDetector::isOverloadedForLong(pool.endpoints[0]));
+  EXPECT_GT(pool.endpoints[0].outlier.overloadBackoffUntil, kStart);
+  EXPECT_TRUE(OutlierDetector::isPersistentlyOverloaded(pool.endpoints[0]));
   pool.record(0, Outcome::served, 1);
-  EXPECT_FALSE(OutlierDetector::isOverloadedForLong(pool.endpoints[0]));
+  EXPECT_FALSE(OutlierDetector::isPersistentlyOverloaded(pool.endpoints[0]));
 }
 
 TEST(OutlierDetector, MalformedResponsesAreNoSignOfLoad) {
--- a/tests/policy/responsiveness_test.cpp
+++ b/tests/policy/responsiveness_test.cpp
@@ -31,7 +31,7 @@
   request.attempts[0].inFlight = false;
   ResponsivenessMonitor::update(pool.endpoints, pool.requests, 0.05, kStart + seconds(10));
   EXPECT_FALSE(pool.endpoints[0].responsiveness.unresponsive);
-  EXPECT_TRUE(pool.endpoints[0].responsiveness.sent.empty());
+  EXPECT_TRUE(pool.endpoints[0].responsiveness.sentRequests.empty());
 }
 
 }  // namespace
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -59,9 +59,9 @@
     slowStart.update(pool.endpoints, kStart);
   }
   EXPECT_EQ(pool.endpoints[0].latency.answers, 0);
-  EXPECT_NEAR(pool.endpoints.machineKinds()[0].provenRate, 50, 0.1);
+  EXPECT_NEAR(pool.endpoints.machineKinds()[0].peakAnswerRate, 50, 0.1);
   for (int i = 0; i < 100; ++i) slowStart.update(pool.endpoints, kStart);
-  EXPECT_NEAR(pool.endpoints.machineKinds()[0].provenRate, 37, 1) << "after ten seconds without answers";
+  EXPECT_NEAR(pool.endpoints.machineKinds()[0].peakAnswerRate, 37, 1) << "after ten seconds without answers";
 }
 
 }  // namespace
