--- a/tests/policy/action_queue_test.cpp
+++ b/tests/policy/action_queue_test.cpp
@@ -7,7 +7,7 @@
 namespace cairnjunction::policy::testing {
 namespace {
 
-TEST(ActionQueue, KeepsActionsInOrderWithTheirFields) {
+TEST(ActionQueue, ActionsKeepTheirOrderAndFields) {
   ActionQueue actions;
   actions.send(1, 2, 3, milliseconds(50));
   actions.reject(4, milliseconds(60));
@@ -25,7 +25,7 @@
   EXPECT_EQ(pending[2].wakeAt, Timestamp(seconds(7)));
 }
 
-TEST(ActionQueue, LogsOneLineASecond) {
+TEST(ActionQueue, AtMostOneLogLinePerSecond) {
   ActionQueue actions;
   const Timestamp start{seconds(100)};
   EXPECT_TRUE(actions.mayLog(start));
--- a/tests/policy/class_state_test.cpp
+++ b/tests/policy/class_state_test.cpp
@@ -7,36 +7,36 @@
 namespace cairnjunction::policy::testing {
 namespace {
 
-TEST(ClassState, CostsAreToldAgainstTheMean) {
+TEST(ClassState, CostRatioIsRelativeToTheMeanCost) {
   ClassState state(makeClass("read", Idempotency::safe, 10));
-  EXPECT_EQ(state.recordCost({}), 1) << "not known";
-  EXPECT_EQ(state.recordCost(milliseconds(10)), 1) << "the first one";
+  EXPECT_EQ(state.recordCost({}), 1) << "unknown cost";
+  EXPECT_EQ(state.recordCost(milliseconds(10)), 1) << "first cost";
   EXPECT_NEAR(state.recordCost(milliseconds(20)), 2, 0.1);
-  EXPECT_EQ(state.recordCost(seconds(10)), 5) << "the most";
+  EXPECT_EQ(state.recordCost(seconds(10)), 5) << "upper bound";
 }
 
-// Clients give first tries 1000 ms, and a second try what is left of it. The time left tells how much is
-// spent.
-TEST(ClassState, LaterTriesAreKnownByTheTimeTheyHave) {
+// Clients send first requests with 1000 ms remaining, and a retry of their own with what is left of it: the
+// remaining time shows how long the client has waited.
+TEST(ClassState, ClientRetriesAreDetectedByTheirRemainingTime) {
   ClassState state(makeClass("read", Idempotency::safe, 10));
   for (int i = 0; i < 20; ++i) EXPECT_EQ(state.recordTimeRemaining(milliseconds(1000)), Duration{});
   EXPECT_EQ(state.recordTimeRemaining(milliseconds(600)), milliseconds(400));
   EXPECT_EQ(state.recordTimeRemaining(milliseconds(1000)), Duration{});
 }
 
-TEST(ClassState, TypicalLatencyFollowsTheAnswers) {
+TEST(ClassState, TypicalLatencyFollowsAnswers) {
   ClassState state(makeClass("read", Idempotency::safe, 10));
-  EXPECT_EQ(state.recordLatency(0.1, 1), 1) << "the first one is typical";
+  EXPECT_EQ(state.recordLatency(0.1, 1), 1) << "the first answer sets the typical latency";
   EXPECT_NEAR(state.recordLatency(0.2, 1), 2, 1e-9);
   EXPECT_GT(state.typicalLatency(), 0.1);
-  EXPECT_EQ(state.recordLatency(100, 1), 20) << "the most";
+  EXPECT_EQ(state.recordLatency(100, 1), 20) << "upper bound";
   ClassState costly(makeClass("read", Idempotency::safe, 10));
   costly.recordLatency(0.4, 4);
-  EXPECT_NEAR(costly.typicalLatency(), 0.1, 1e-9) << "by mean cost";
+  EXPECT_NEAR(costly.typicalLatency(), 0.1, 1e-9) << "scaled to the mean cost";
   EXPECT_EQ(costly.typicalDuration(4), milliseconds(400));
 }
 
-TEST(ClassTable, UnknownClassesAreNeverRepeatedAndComeLast) {
+TEST(ClassTable, UnknownClassIsUnsafeWithPriorityWeightZero) {
   ClassTable classes(makeSettings().classes);
   ASSERT_EQ(classes.size(), 4U);
   EXPECT_EQ(classes.indexOf(1), 1U);
@@ -46,7 +46,7 @@
   EXPECT_EQ(classes[3].settings().priorityWeight, 0);
 }
 
-TEST(ClassTable, WhatWasLearnedOfAClassGoesWithItsName) {
+TEST(ClassTable, ReconfigureKeepsStatisticsByClassName) {
   ClassTable classes(makeSettings().classes);  // read, write, put
   classes[1].recordLatency(0.3, 1);
   const std::vector<std::size_t> origins = classes.reconfigure(
@@ -58,9 +58,9 @@
   EXPECT_EQ(classes[2].settings().name, "unknown");
 }
 
-TEST(ClassTable, WorkIsToldAgainstTheRecentTraffic) {
+TEST(ClassTable, RelativeWorkIsRelativeToTheRecentTraffic) {
   ClassTable classes(makeSettings().classes);
-  EXPECT_EQ(classes.relativeWork(0, 1), 1) << "before an answer";
+  EXPECT_EQ(classes.relativeWork(0, 1), 1) << "before the first answer";
   classes[0].recordLatency(0.1, 1);
   classes[1].recordLatency(0.4, 1);
   for (int i = 0; i < 1000; ++i) classes.recordArrival(0, 1);
--- a/tests/policy/connect_backoff_test.cpp
+++ b/tests/policy/connect_backoff_test.cpp
@@ -7,7 +7,7 @@
 namespace cairnjunction::policy::testing {
 namespace {
 
-TEST(ConnectBackoff, RestsLongerWithEachFailureOnEnd) {
+TEST(ConnectBackoff, BackoffDoublesWithEachConsecutiveFailure) {
   Pool pool(1);
   Endpoint& endpoint = pool.endpoints[0];
   for (const int expected : {1, 2, 4, 8, 8}) {
@@ -23,7 +23,7 @@
   EXPECT_TRUE(ConnectBackoff::mayConnect(endpoint, kStart));
 }
 
-TEST(ConnectBackoff, WithoutDescriptorsNothingIsConnectedForAMoment) {
+TEST(ConnectBackoff, NoNewConnectionsFor20MsAfterDescriptorsRunOut) {
   ConnectBackoff backoff;
   EXPECT_TRUE(backoff.hasDescriptors(kStart));
   backoff.recordNoDescriptor(kStart);
--- a/tests/policy/connection_age_test.cpp
+++ b/tests/policy/connection_age_test.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 struct ConnectionAge : ::testing::Test {
-  // An attempt that is sent and ends at once, on a connection that lay idle as long as the endpoint.
-  ConnectionAgeTracker::SendEffect use(Timestamp at, Outcome outcome) {
-    const ConnectionAgeTracker::SendEffect used = tracker.recordSend(endpoint, at);
-    tracker.recordOutcome(used.idleStep, outcome);
-    return used;
+  // Sends an attempt that ends immediately; its connection has been idle since the endpoint was last effect.
+  ConnectionAgeTracker::SendEffect sendAndSettle(Timestamp at, Outcome outcome) {
+    const ConnectionAgeTracker::SendEffect effect = tracker.recordSend(endpoint, at);
+    tracker.recordOutcome(effect.idleStep, outcome);
+    return effect;
   }
 
   Pool pool{1};
@@ -21,50 +21,50 @@
   Timestamp now = kStart;
 };
 
-TEST_F(ConnectionAge, AConnectionIsOpenedWhereNoneHasRoom) {
+TEST_F(ConnectionAge, NewConnectionIsOpenedIfNoneHasCapacity) {
   EXPECT_FALSE(tracker.hasCapacity(endpoint, kStart));
-  EXPECT_TRUE(use(kStart, Outcome::served).newConnection);
+  EXPECT_TRUE(sendAndSettle(kStart, Outcome::served).newConnection);
   EXPECT_EQ(endpoint.connections.open, 1);
-  EXPECT_FALSE(use(kStart, Outcome::served).newConnection);
+  EXPECT_FALSE(sendAndSettle(kStart, Outcome::served).newConnection);
   endpoint.inFlight = 1;
-  EXPECT_TRUE(use(kStart, Outcome::served).newConnection);
+  EXPECT_TRUE(sendAndSettle(kStart, Outcome::served).newConnection);
   EXPECT_EQ(endpoint.connections.open, 2);
 }
 
-TEST_F(ConnectionAge, ReportedCountsAreNotGuessedAt) {
+TEST_F(ConnectionAge, ReportedCountReplacesTheEstimate) {
   ConnectionAgeTracker::recordReported(endpoint, 3);
   endpoint.inFlight = 3;
-  use(kStart, Outcome::served);
+  sendAndSettle(kStart, Outcome::served);
   ConnectionAgeTracker::recordClosed(endpoint);
   ConnectionAgeTracker::reset(endpoint);
   EXPECT_EQ(endpoint.connections.open, 3);
 }
 
-TEST_F(ConnectionAge, ConnectionsEndWithTheIdleTimeout) {
+TEST_F(ConnectionAge, ConnectionsHaveNoCapacityAfterTheIdleTimeout) {
   pool.settings.idleTimeout = seconds(2);
-  use(kStart, Outcome::served);
+  sendAndSettle(kStart, Outcome::served);
   EXPECT_TRUE(tracker.hasCapacity(endpoint, kStart + seconds(1)));
   EXPECT_FALSE(tracker.hasCapacity(endpoint, kStart + seconds(2)));
 }
 
-// A firewall drops connections after a second without traffic and tells neither end. What is sent on one is
-// lost.
-TEST_F(ConnectionAge, ConnectionsThatLayIdleForTooLongAreClosedInstead) {
-  use(now, Outcome::served);
+// A firewall drops connections after a second without traffic and notifies neither end: attempts sent on such
+// a connection are lost.
+TEST_F(ConnectionAge, StaleConnectionsAreClosedInsteadOfUsed) {
+  sendAndSettle(now, Outcome::served);
   bool closed = false;
   for (int i = 0; i < 10 && !closed; ++i) {
     now += seconds(1);
-    const ConnectionAgeTracker::SendEffect used = tracker.recordSend(endpoint, now);
-    closed = used.closeStaleFirst;
-    tracker.recordOutcome(used.idleStep, closed ? Outcome::served : Outcome::timeout);
+    const ConnectionAgeTracker::SendEffect effect = tracker.recordSend(endpoint, now);
+    closed = effect.closeStaleFirst;
+    tracker.recordOutcome(effect.idleStep, closed ? Outcome::served : Outcome::timeout);
   }
   EXPECT_TRUE(closed);
   EXPECT_TRUE(tracker.hasFreshCapacity(endpoint, now + milliseconds(100)));
   EXPECT_FALSE(tracker.hasFreshCapacity(endpoint, now + seconds(1)));
-  EXPECT_FALSE(tracker.hasFreshCapacity(endpoint, now + seconds(10))) << "a longer wait is no safer";
+  EXPECT_FALSE(tracker.hasFreshCapacity(endpoint, now + seconds(10))) << "longer idle times are stale too";
 }
 
-TEST(ConnectionAgeUpdate, ConnectionsBeyondTheSubsetAreGivenBack) {
+TEST(ConnectionAgeUpdate, UnusedConnectionsOutsideTheSubsetAreClosed) {
   Settings settings = makeSettings();
   settings.gatewayCount = 100;
   Pool pool(20, settings);
--- a/tests/policy/endpoint_list_poller_test.cpp
+++ b/tests/policy/endpoint_list_poller_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr Timestamp kStart{seconds(100)};
 
-Settings polling() {
+Settings pollingSettings() {
   Settings settings = makeSettings();
   settings.pollDiscovery = true;
   settings.maxPollInterval = seconds(10);
@@ -17,7 +17,7 @@
 }
 
 TEST(EndpointListPoller, PollsOnceAndThenWaitsForUpdates) {
-  const Settings settings = polling();
+  const Settings settings = pollingSettings();
   EndpointListPoller poller(settings);
   EXPECT_TRUE(poller.startPollIfDue(kStart));
   EXPECT_FALSE(poller.startPollIfDue(kStart + seconds(1)));
@@ -25,14 +25,14 @@
   EXPECT_FALSE(poller.startPollIfDue(kStart + seconds(3600)));
 }
 
-TEST(EndpointListPoller, NeverPollsWhereListsComeByThemselves) {
+TEST(EndpointListPoller, NeverPollsWithoutPollDiscovery) {
   const Settings settings = makeSettings();
   EndpointListPoller poller(settings);
   EXPECT_FALSE(poller.startPollIfDue(kStart));
 }
 
-TEST(EndpointListPoller, BacksOffWithJitterUpToAFifthOfTheLongestSilence) {
-  const Settings settings = polling();
+TEST(EndpointListPoller, BacksOffWithJitterUpToAFifthOfMaxPollInterval) {
+  const Settings settings = pollingSettings();
   EndpointListPoller poller(settings);
   Random random(1);
   Timestamp now = kStart;
@@ -48,9 +48,9 @@
   }
 }
 
-// The answer to a poll was lost on the way. Without another poll this gateway would never have a list.
-TEST(EndpointListPoller, APollWithoutAnAnswerIsRepeated) {
-  const Settings settings = polling();
+// The answer to a poll was lost. Without another poll this gateway would never get a list.
+TEST(EndpointListPoller, UnansweredPollIsRepeated) {
+  const Settings settings = pollingSettings();
   EndpointListPoller poller(settings);
   EXPECT_TRUE(poller.startPollIfDue(kStart));
   EXPECT_FALSE(poller.startPollIfDue(kStart + seconds(5)));
--- a/tests/policy/endpoint_picker_test.cpp
+++ b/tests/policy/endpoint_picker_test.cpp
@@ -35,31 +35,31 @@
                          .random = pool.random}};
 };
 
-TEST_F(Picker, IdleEndpointsShareTheRequests) {
+TEST_F(Picker, IdleEndpointsArePickedEvenly) {
   const auto picked = pickMany(pool.open());
   ASSERT_EQ(picked.size(), 4U);
   for (const auto& [id, count] : picked) EXPECT_NEAR(count, 250, 60) << id;
 }
 
-TEST_F(Picker, BusyEndpointsAreLeftWhileOthersAreIdle) {
+TEST_F(Picker, BusyEndpointsAreNotPickedWhileOthersAreIdle) {
   pool.endpoints[0].inFlight = 1;
   EXPECT_EQ(pickMany(pool.open()).count(0), 0U);
 }
 
-TEST_F(Picker, FastEndpointsAreDrawnMore) {
+TEST_F(Picker, FastEndpointsArePickedMoreOften) {
   pool.endpoints[0].latency.relativeLatency = 0.5;
   EXPECT_NEAR(pickMany(pool.open())[0], 571, 60) << "a weight of 4 among 7";
 }
 
-TEST_F(Picker, WithoutAnIdleOneTheLessLoadedOfTwoIsPicked) {
+TEST_F(Picker, WithoutIdleEndpointsTheLessLoadedOfTwoIsPicked) {
   for (EndpointId id = 0; id < 4; ++id) pool.endpoints[id].inFlight = 5;
   pool.endpoints[3].inFlight = 9;
   for (EndpointId id = 0; id < 4; ++id) pool.endpoints[id].latency.relativeLatency = 2;
   const auto picked = pickMany(pool.open());
-  EXPECT_LT(picked.count(3) ? picked.at(3) : 0, 120) << "only where both draws are it";
+  EXPECT_LT(picked.count(3) ? picked.at(3) : 0, 120) << "picked only if both draws hit it";
 }
 
-TEST_F(Picker, EndpointsInTroubleAreLeftOut) {
+TEST_F(Picker, UnhealthyEndpointsAreNotPicked) {
   pool.endpoints[0].outlier.state = EjectionState::ejected;
   pool.endpoints[1].responsiveness.unresponsive = true;
   pool.endpoints[2].outlier.overloadBackoffUntil = kStart + milliseconds(1);
@@ -68,18 +68,18 @@
   EXPECT_EQ(picked.count(3), 1U);
 }
 
-TEST_F(Picker, WithoutAHealthyOneAnyAllowedOneIsPicked) {
+TEST_F(Picker, WithoutHealthyEndpointsAnyAllowedOneIsPicked) {
   for (EndpointId id = 0; id < 4; ++id) pool.endpoints[id].outlier.state = EjectionState::ejected;
   EXPECT_EQ(pickMany(pool.open()).size(), 4U);
 }
 
-TEST_F(Picker, NoneIsPickedThatIsOutOfReachOrFull) {
+TEST_F(Picker, UnreachableOrFullyLoadedEndpointsAreNeverPicked) {
   for (EndpointId id = 0; id < 2; ++id) pool.endpoints.setReachability(id, Reachability::unreachable);
   for (EndpointId id = 2; id < 4; ++id) pool.endpoints[id].info.maxInFlight = 0;
   EXPECT_EQ(picker.pick(pool.open(), kStart), std::nullopt);
 }
 
-TEST_F(Picker, ARetryGoesElsewhereAndProbesNothing) {
+TEST_F(Picker, RetryUsesAnotherEndpointAndIsNotAProbe) {
   ActiveRequest& request = pool.open();
   pool.send(request, 0);
   pool.endpoints.setReachability(1, Reachability::probeOnly);
@@ -89,7 +89,7 @@
   EXPECT_EQ(picked.size(), 2U);
 }
 
-TEST_F(Picker, AnEndpointOnProbationHasOneAttempt) {
+TEST_F(Picker, EndpointOnProbationGetsOneAttemptAtATime) {
   for (EndpointId id = 1; id < 4; ++id) pool.endpoints[id].outlier.state = EjectionState::ejected;
   pool.endpoints[0].outlier.state = EjectionState::probation;
   EXPECT_EQ(pickMany(pool.open()).size(), 1U);
@@ -98,7 +98,7 @@
   EXPECT_EQ(pickMany(pool.open()).count(0), 0U);
 }
 
-// Out of descriptors, a new connection would only fail. Endpoints with an open connection are used on.
+// Without descriptors a new connection would fail. Endpoints with an open connection stay in use.
 TEST_F(Picker, WithoutDescriptorsOnlyOpenConnectionsAreUsed) {
   connectBackoff.recordNoDescriptor(kStart);
   EXPECT_EQ(picker.pick(pool.open(), kStart), std::nullopt);
@@ -107,7 +107,7 @@
   EXPECT_EQ(picker.pick(pool.open(), kStart), 2U);
 }
 
-TEST_F(Picker, WithKeyAffinityAKeyKeepsToItsEndpoint) {
+TEST_F(Picker, WithKeyAffinityRequestsOfAKeyUseOneEndpoint) {
   pool.settings.keyAffinity = true;
   pool.endpoints.rebuildOrder();
   ActiveRequest& request = pool.open();
@@ -116,7 +116,7 @@
   ASSERT_EQ(picked.size(), 1U);
   const EndpointId first = picked.begin()->first;
   pool.endpoints[first].inFlight = 1;
-  EXPECT_EQ(pickMany(request).count(first), 0U) << "busy: the next one of the key's order";
+  EXPECT_EQ(pickMany(request).count(first), 0U) << "busy: the next endpoint in the key's order is used";
   EXPECT_EQ(pickMany(request).size(), 1U);
 }
 
--- a/tests/policy/endpoint_table_test.cpp
+++ b/tests/policy/endpoint_table_test.cpp
@@ -7,7 +7,7 @@
 namespace cairnjunction::policy::testing {
 namespace {
 
-TEST(EndpointTable, ListedByAddressAndFoundByIt) {
+TEST(EndpointTable, EndpointsAreListedAndFoundByAddress) {
   Pool pool(3);
   EXPECT_EQ(pool.endpoints.listed().size(), 3U);
   EXPECT_EQ(pool.endpoints.idOf("host-101"), 1U);
@@ -17,18 +17,18 @@
   EXPECT_EQ(pool.endpoints.reachableCount(), 2U);
 }
 
-TEST(EndpointTable, ANewStartTimeIsARestart) {
+TEST(EndpointTable, NewStartTimeCountsAsARestart) {
   Pool pool(1);
   EndpointInfo info = makeHost(0);
   EXPECT_FALSE(pool.endpoints.upsert(info, pool.classes).restarted);
   info.startedAt = kStart;
   EXPECT_TRUE(pool.endpoints.upsert(info, pool.classes).restarted);
-  EXPECT_TRUE(pool.endpoints.upsert(makeHost(1), pool.classes).restarted) << "a new one";
+  EXPECT_TRUE(pool.endpoints.upsert(makeHost(1), pool.classes).restarted) << "new endpoint";
 }
 
-// The zone and cell of a removed endpoint bind the repeats of requests that it had, so its id stays until
-// they end.
-TEST(EndpointTable, ARemovedEndpointStaysWhileARequestNamesIt) {
+// The zone and cell of a removed endpoint restrict where its requests may be repeated, so its id stays in use
+// until those requests end.
+TEST(EndpointTable, RemovedEndpointIsKeptWhileARequestRefersToIt) {
   Pool pool(2);
   pool.endpoints.markAllRemoved();
   pool.endpoints.upsert(makeHost(0), pool.classes);
@@ -39,7 +39,7 @@
   pool.endpoints[1].references = 0;
   EXPECT_TRUE(pool.endpoints.forgetIfUnused(1));
   EXPECT_FALSE(pool.endpoints.isKnown(1));
-  EXPECT_EQ(pool.endpoints.upsert(makeHost(9), pool.classes).id, 1U) << "its id is used again";
+  EXPECT_EQ(pool.endpoints.upsert(makeHost(9), pool.classes).id, 1U) << "the freed id is reused";
 }
 
 TEST(EndpointTable, GatewaysOfALargeGroupUseDifferentSubsets) {
@@ -48,11 +48,11 @@
   Pool first(100, settings);
   settings.gatewayIndex = 7;
   Pool second(100, settings);
-  EXPECT_EQ(first.endpoints.subsetSize(), 14U) << "6 and 4 times a fiftieth of 100";
+  EXPECT_EQ(first.endpoints.subsetSize(), 14U) << "6 + 4 * 100 / 50";
   EXPECT_NE(first.endpoints.ordered(), second.endpoints.ordered());
 }
 
-TEST(EndpointTable, EndpointsInTroubleAreNotCountedInFlight) {
+TEST(EndpointTable, InFlightCountExcludesUnhealthyEndpoints) {
   Pool pool(3);
   for (EndpointId id = 0; id < 3; ++id) pool.endpoints[id].inFlight = 10;
   EXPECT_EQ(pool.endpoints.inFlight(), 30);
@@ -61,7 +61,7 @@
   EXPECT_EQ(pool.endpoints.inFlight(), 10);
 }
 
-TEST(EndpointTable, PlacementIsKeptByClass) {
+TEST(EndpointTable, AllowedZonesAndMachineKindsApplyPerClass) {
   Settings settings = makeSettings();
   settings.classes[1].allowedZones = {"west"};
   settings.classes[2].allowedMachineKinds.emplace();
--- a/tests/policy/hedging_test.cpp
+++ b/tests/policy/hedging_test.cpp
@@ -7,18 +7,18 @@
 namespace cairnjunction::policy::testing {
 namespace {
 
-TEST(HedgingPolicy, WaitsForSeveralTypicalDurations) {
+TEST(HedgingPolicy, DelayIsAMultipleOfTheTypicalLatency) {
   Pool pool(1);
   pool.settings.hedging = true;
   const HedgingPolicy hedging(pool.settings);
   ActiveRequest& request = pool.open(0);
-  EXPECT_EQ(hedging.delay(request, pool.classes[0]), std::nullopt) << "no answer was seen yet";
+  EXPECT_EQ(hedging.delay(request, pool.classes[0]), std::nullopt) << "no typical latency yet";
   pool.classes[0].recordLatency(0.04, 1);
   request.costRatio = 2;
   EXPECT_EQ(hedging.delay(request, pool.classes[0]), milliseconds(200));
 }
 
-TEST(HedgingPolicy, NeverForUnsafeRequestsOrWhereItIsOff) {
+TEST(HedgingPolicy, NoDelayForUnsafeRequestsOrIfDisabled) {
   Pool pool(1);
   const HedgingPolicy hedging(pool.settings);
   pool.classes[0].recordLatency(0.04, 1);
--- a/tests/policy/key_serializer_test.cpp
+++ b/tests/policy/key_serializer_test.cpp
@@ -12,20 +12,20 @@
 constexpr std::uint64_t kKey = 42;
 constexpr Timestamp kStart{seconds(100)};
 
-TEST(KeySerializer, OnlyTheHeadOfAQueueIsOffered) {
+TEST(KeySerializer, NextHeadReturnsOnlyTheHeadOfAQueue) {
   KeySerializer keys;
   EXPECT_EQ(keys.enqueue(kKey, 1), 0U);
   EXPECT_EQ(keys.enqueue(kKey, 2), 1U);
   EXPECT_EQ(keys.enqueue(kKey + 1, 3), 0U) << "another key";
   keys.markChanged(kKey);
   EXPECT_EQ(keys.nextHead(kStart)->slot, 1U);
-  EXPECT_FALSE(keys.nextHead(kStart)) << "offered once for each mark";
+  EXPECT_FALSE(keys.nextHead(kStart)) << "returned once for each mark";
   keys.remove(kKey, 1);
   EXPECT_EQ(keys.nextHead(kStart)->slot, 2U);
 }
 
-// The embedding loop ends a head that comes too late; the next one is offered in the same event.
-TEST(KeySerializer, KeysMarkedMeanwhileAreOfferedToo) {
+// The caller ends a head that would be too late; the next one must be returned within the same event.
+TEST(KeySerializer, NextHeadCoversKeysMarkedBetweenCalls) {
   KeySerializer keys;
   keys.enqueue(kKey, 1);
   keys.enqueue(kKey, 2);
@@ -36,7 +36,7 @@
   EXPECT_FALSE(keys.nextHead(kStart));
 }
 
-TEST(KeySerializer, ACooldownOutlastsTheQueue) {
+TEST(KeySerializer, CooldownOutlivesAnEmptyQueue) {
   KeySerializer keys;
   keys.enqueue(kKey, 1);
   keys.coolDown(kKey, kStart + seconds(1));
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -7,7 +7,7 @@
 namespace cairnjunction::policy::testing {
 namespace {
 
-TEST(OutlierDetector, AnEndpointThatFailsMoreThanItsPeersIsEjectedForAWhile) {
+TEST(OutlierDetector, EndpointThatFailsMoreThanItsPeersIsEjected) {
   Pool pool(4);
   pool.record(0, Outcome::error, 6);
   pool.outliers.update(pool.rates, kStart);
@@ -16,7 +16,7 @@
   EXPECT_GE(record.ejectedUntil, kStart + milliseconds(750));
   EXPECT_LE(record.ejectedUntil, kStart + milliseconds(1250));
   EXPECT_EQ(pool.endpoints[1].outlier.state, EjectionState::healthy);
-  EXPECT_EQ(pool.actions.pending().size(), 1U) << "a line in the log";
+  EXPECT_EQ(pool.actions.pending().size(), 1U) << "one log line";
 }
 
 TEST(OutlierDetector, ProbationEndsWithTheFirstOutcome) {
@@ -28,7 +28,7 @@
   OutlierRecord& record = pool.endpoints[0].outlier;
   EXPECT_EQ(record.state, EjectionState::probation);
   pool.record(0, Outcome::overloaded, 1, later);
-  EXPECT_EQ(record.state, EjectionState::probation) << "turned away says nothing";
+  EXPECT_EQ(record.state, EjectionState::probation) << "a rejection as overloaded does not decide";
   pool.record(0, Outcome::error, 1, later);
   EXPECT_EQ(record.state, EjectionState::ejected);
   EXPECT_GE(record.ejectedUntil, later + milliseconds(1500)) << "twice as long as the first time";
@@ -38,9 +38,9 @@
   EXPECT_EQ(record.failureRate, 0);
 }
 
-// The network between this gateway and all endpoints fails: with most of them ejected, the rest would be
+// The network between this gateway and all endpoints fails: if most of them were ejected, the rest would be
 // overloaded.
-TEST(OutlierDetector, TroubleOfTheWholePoolEjectsNone) {
+TEST(OutlierDetector, FailureOfTheWholePoolEjectsNoEndpoint) {
   Pool pool(4);
   for (EndpointId id = 0; id < 4; ++id) pool.record(id, Outcome::timeout, 10);
   pool.outliers.update(pool.rates, kStart);
@@ -56,19 +56,20 @@
   EXPECT_EQ(ejected, 2);
 }
 
-// An endpoint fails every request of one class and serves all others, so that its failure rate over all looks
+// An endpoint fails every request of one class and serves all others, so that its overall failure rate looks
 // normal.
-TEST(OutlierDetector, AClassThatFailsAtOneEndpointIsSentThereLess) {
+TEST(OutlierDetector, ClassSuccessWeightFallsForAFailingClassOnly) {
   Pool pool(2);
   EXPECT_EQ(pool.outliers.classSuccessWeight(pool.endpoints[0], 0), 1);
   pool.record(0, Outcome::error, 10);
   EXPECT_LT(pool.outliers.classSuccessWeight(pool.endpoints[0], 0), 0.1);
-  EXPECT_GT(pool.outliers.classSuccessWeight(pool.endpoints[0], 0), 0) << "some are still sent";
+  EXPECT_GT(pool.outliers.classSuccessWeight(pool.endpoints[0], 0), 0)
+      << "lower bound: some requests are still sent";
   EXPECT_EQ(pool.outliers.classSuccessWeight(pool.endpoints[0], 1), 1);
   EXPECT_EQ(pool.outliers.classSuccessWeight(pool.endpoints[1], 0), 1);
 }
 
-TEST(OutlierDetector, AnEndpointThatTurnsAwayOnEndRests) {
+TEST(OutlierDetector, EndpointOverloadedThreeTimesInARowIsPaused) {
   Pool pool(1);
   pool.record(0, Outcome::overloaded, 2);
   EXPECT_EQ(pool.endpoints[0].outlier.overloadBackoffUntil, Timestamp{});
@@ -80,12 +81,12 @@
   EXPECT_FALSE(OutlierDetector::isPersistentlyOverloaded(pool.endpoints[0]));
 }
 
-TEST(OutlierDetector, MalformedResponsesAreNoSignOfLoad) {
+TEST(OutlierDetector, MalformedResponsesCountAsFailuresButNotAsPoolErrors) {
   Pool pool(1);
   pool.record(0, Outcome::error, 4, kStart, FailureReason::malformedResponse);
   EXPECT_EQ(pool.endpoints[0].outlier.errors, 0);
   EXPECT_EQ(pool.endpoints[0].outlier.outcomes, 4);
-  EXPECT_GT(pool.endpoints[0].outlier.failureRate, 0.3) << "its peers give fewer";
+  EXPECT_GT(pool.endpoints[0].outlier.failureRate, 0.3) << "counts in comparison with its peers";
 }
 
 }  // namespace
--- a/tests/policy/pool.hpp
+++ b/tests/policy/pool.hpp
@@ -1,4 +1,4 @@
-// A pool of endpoints and what the objects of the decisions share, for their unit tests.
+// Test fixture: a pool of endpoints and the objects that the parts of the load balancer share.
 #pragma once
 
 #include "driver.hpp"
@@ -13,9 +13,10 @@
 
 constexpr Timestamp kStart{seconds(100)};
 
-// Endpoints "host-100" on, all in service, in the order of their ids. Classes: read (0), write (1), put (2).
+// Endpoints "host-100", "host-101" and so on, all healthy, in the order of their ids. Classes: read (0),
+// write (1), put (2).
 struct Pool {
-  explicit Pool(int count, Settings wanted = makeSettings()) : settings(std::move(wanted)) {
+  explicit Pool(int count, Settings initial = makeSettings()) : settings(std::move(initial)) {
     for (int i = 0; i < count; ++i) add(makeHost(i));
     endpoints.rebuildOrder();
   }
@@ -27,7 +28,7 @@
     outliers.reset(endpoints[id]);
     return id;
   }
-  // Counts as many outcomes of class read at the endpoint.
+  // Records `count` outcomes of class read at the endpoint.
   void record(EndpointId id, Outcome outcome, int count, Timestamp now = kStart,
               FailureReason reason = FailureReason::unknown) {
     AttemptResult result;
@@ -35,6 +36,7 @@
     result.failureReason = reason;
     for (int i = 0; i < count; ++i) outliers.recordOutcome(endpoints[id], 0, result, now);
   }
+  // Opens a request with a deadline 1 s and an objective 400 ms after kStart.
   ActiveRequest& open(std::uint32_t classIndex = 0) {
     ActiveRequest& request = *requests.open(nextRequest++);
     request.classIndex = classIndex;
@@ -42,7 +44,7 @@
     request.objectiveAt = kStart + milliseconds(400);
     return request;
   }
-  // Notes an attempt that was sent, as yet without its result.
+  // Records an attempt as sent and in flight.
   void send(ActiveRequest& request, EndpointId id, Timestamp at = kStart) {
     Attempt& attempt = request.attempts[request.attemptCount++];
     attempt.endpoint = id;
--- a/tests/policy/priority_score_test.cpp
+++ b/tests/policy/priority_score_test.cpp
@@ -5,7 +5,7 @@
 namespace cairnjunction::policy::testing {
 namespace {
 
-TEST(PriorityScorer, AHigherWeightNeverScoresBelowALowerOne) {
+TEST(PriorityScorer, HigherWeightAlwaysScoresAboveALowerOne) {
   PriorityScorer scorer;
   Random random(1);
   scorer.score(1, random);
@@ -19,7 +19,7 @@
   }
 }
 
-TEST(PriorityScorer, OneWeightSpreadsOverAllRanks) {
+TEST(PriorityScorer, EqualWeightsSpreadOverAllScores) {
   PriorityScorer scorer;
   Random random(1);
   int below = 0;
@@ -27,16 +27,16 @@
   EXPECT_NEAR(below / 10000.0, 0.24, 0.02);
 }
 
-// A class that is no longer sent must not hold ranks for good.
-TEST(PriorityScorer, TrafficOfThePastFades) {
+// A class without recent requests must not occupy ranks permanently.
+TEST(PriorityScorer, PastTrafficDecays) {
   PriorityScorer scorer;
   Random random(1);
   for (int i = 0; i < 100; ++i) scorer.score(1, random);
   EXPECT_GT(scorer.score(10, random), 99);
   for (int update = 0; update < 2000; ++update) scorer.update();
-  double least = 100;
-  for (int i = 0; i < 100; ++i) least = std::min(least, scorer.score(10, random));
-  EXPECT_LT(least, 10);
+  double minScore = 100;
+  for (int i = 0; i < 100; ++i) minScore = std::min(minScore, scorer.score(10, random));
+  EXPECT_LT(minScore, 10);
 }
 
 }  // namespace
--- a/tests/policy/random_test.cpp
+++ b/tests/policy/random_test.cpp
@@ -5,7 +5,7 @@
 namespace cairnjunction::policy::testing {
 namespace {
 
-TEST(Random, SameSeedGivesTheSameDraws) {
+TEST(Random, EqualSeedsGiveEqualDraws) {
   Random first(7);
   Random second(7);
   Random other(8);
--- a/tests/policy/relative_latency_test.cpp
+++ b/tests/policy/relative_latency_test.cpp
@@ -7,7 +7,7 @@
 namespace cairnjunction::policy::testing {
 namespace {
 
-TEST(LatencyTracker, ASlowEndpointIsToldFromTheClass) {
+TEST(LatencyTracker, RelativeLatencyReflectsASlowEndpoint) {
   Pool pool(2);
   for (int i = 0; i < 100; ++i) {
     LatencyTracker::recordAnswer(pool.endpoints, pool.endpoints[0], pool.classes[0], 1, 0.1);
@@ -19,7 +19,7 @@
   EXPECT_EQ(pool.endpoints[0].latency.answers, 100);
 }
 
-TEST(LatencyTracker, ATimeoutCountsOnlyIfItTookLonger) {
+TEST(LatencyTracker, TimeoutCountsOnlyIfLongerThanTheTypicalLatency) {
   Pool pool(1);
   LatencyTracker::recordAnswer(pool.endpoints, pool.endpoints[0], pool.classes[0], 1, 0.1);
   LatencyTracker::recordTimeout(pool.endpoints[0], pool.classes[0], 1, 0.05);
@@ -28,8 +28,8 @@
   EXPECT_NEAR(pool.endpoints[0].latency.relativeLatency, 1.4, 1e-9);
 }
 
-// A latency that was learned in trouble keeps requests away; without them it would never change.
-TEST(LatencyTracker, WithoutRequestsAnEndpointIsTakenForOneOfItsKind) {
+// A high latency from a past problem keeps requests away, and without requests it would never change.
+TEST(LatencyTracker, WithoutRequestsLatencyReturnsToThatOfTheMachineKind) {
   Pool pool(1);
   LatencyTracker tracker;
   pool.endpoints[0].latency.relativeLatency = 10;
--- a/tests/policy/request_table_test.cpp
+++ b/tests/policy/request_table_test.cpp
@@ -5,7 +5,7 @@
 namespace cairnjunction::policy::testing {
 namespace {
 
-TEST(RequestTable, OneRequestOfAnIdIsOpen) {
+TEST(RequestTable, RequestIdCanBeOpenOnlyOnce) {
   RequestTable requests;
   ActiveRequest* request = requests.open(7);
   ASSERT_TRUE(request);
@@ -17,8 +17,8 @@
   EXPECT_EQ(requests.size(), 0U);
 }
 
-// A timer of an ended request must not act on the one that has its slot now.
-TEST(RequestTable, AReferenceToAnEarlierRequestFindsNone) {
+// A timer of an ended request must not act on the request that now uses its slot.
+TEST(RequestTable, ReferenceToAClosedRequestFindsNothing) {
   RequestTable requests;
   ActiveRequest* first = requests.open(1);
   const RequestRef ref = first->ref;
--- a/tests/policy/responsiveness_test.cpp
+++ b/tests/policy/responsiveness_test.cpp
@@ -7,7 +7,7 @@
 namespace cairnjunction::policy::testing {
 namespace {
 
-TEST(ResponsivenessMonitor, AnEndpointThatSaysNothingForLongIsUnresponsive) {
+TEST(ResponsivenessMonitor, EndpointWithoutAResponseForLongIsUnresponsive) {
   Pool pool(2);
   ActiveRequest& request = pool.open();
   pool.send(request, 0);
@@ -23,7 +23,7 @@
   EXPECT_FALSE(pool.endpoints[1].responsiveness.unresponsive) << "nothing was sent to it";
 }
 
-TEST(ResponsivenessMonitor, SettledAttemptsAreDropped) {
+TEST(ResponsivenessMonitor, SettledAttemptsAreIgnored) {
   Pool pool(1);
   ActiveRequest& request = pool.open();
   pool.send(request, 0);
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::uint32_t kSafe = 0;
 constexpr std::uint32_t kUnsafe = 1;
-constexpr std::uint32_t kKeyed = 2;  // repeats are dropped within a cell, for 800 ms
+constexpr std::uint32_t kKeyed = 2;  // deduplicated within a cell, for 800 ms
 
 struct Retry : ::testing::Test {
   Retry() {
@@ -24,13 +24,13 @@
   RetryPolicy policy{pool.settings, pool.classes, pool.endpoints};
 };
 
-TEST_F(Retry, SafeRequestsMayRunAgainAnywhere) {
+TEST_F(Retry, SafeRequestsMayBeRepeatedAnywhere) {
   ActiveRequest& request = pool.open(kSafe);
   pool.send(request, 0);
   for (EndpointId id = 0; id < 4; ++id) EXPECT_TRUE(mayRunAt(request, id, seconds(10)));
 }
 
-TEST_F(Retry, UnsafeRequestsMayRunAgainOnlyIfTheyNeverRan) {
+TEST_F(Retry, UnsafeRequestsMayBeRepeatedOnlyIfNotExecuted) {
   ActiveRequest& request = pool.open(kUnsafe);
   EXPECT_TRUE(mayRunAt(request, 0));
   pool.send(request, 0);
@@ -40,14 +40,14 @@
   EXPECT_TRUE(mayRunAt(request, 1));
 }
 
-TEST_F(Retry, KeyedRequestsMayRunAgainWhereAndWhileRepeatsAreDropped) {
+TEST_F(Retry, KeyedRequestsMayBeRepeatedWithinDedupScopeAndWindow) {
   ActiveRequest& request = pool.open(kKeyed);
   pool.send(request, 0);
   EXPECT_FALSE(mayRunAt(request, 1)) << "another cell";
   EXPECT_TRUE(mayRunAt(request, 2)) << "the same cell and zone";
   EXPECT_FALSE(mayRunAt(request, 3)) << "another zone";
   EXPECT_TRUE(mayRunAt(request, 2, milliseconds(790)));
-  EXPECT_FALSE(mayRunAt(request, 2, milliseconds(791))) << "too close to the window's end";
+  EXPECT_FALSE(mayRunAt(request, 2, milliseconds(791))) << "too close to the end of the dedup window";
 }
 
 TEST_F(Retry, AttemptsAreLimitedBySettingsAndRequest) {
@@ -61,7 +61,7 @@
   EXPECT_TRUE(policy.isExhausted(request));
 }
 
-TEST_F(Retry, TheSendDeadlineIsTheObjectiveUnlessLateAnswersHaveValue) {
+TEST_F(Retry, SendDeadlineIsTheObjectiveUnlessLateAnswersHaveValue) {
   const ActiveRequest& request = pool.open(kSafe);
   EXPECT_EQ(policy.sendDeadline(request), kStart + milliseconds(390));
   ClassSettings late = pool.settings.classes[kSafe];
@@ -70,16 +70,16 @@
   EXPECT_EQ(policy.sendDeadline(request), kStart + milliseconds(990));
 }
 
-TEST_F(Retry, ARequestBehindOthersOfItsKeyNeedsTheTimeOfAll) {
+TEST_F(Retry, RequestsAheadOfTheSameKeyAddTheirTypicalLatency) {
   pool.classes[kSafe].recordLatency(0.1, 1);
   const ActiveRequest& request = pool.open(kSafe);
   EXPECT_FALSE(policy.cannotFinishInTime(request, 2, kStart));
   EXPECT_TRUE(policy.cannotFinishInTime(request, 3, kStart));
 }
 
-// A rejection tells the client that it may send again; where the request may have run, that would run it
-// twice.
-TEST_F(Retry, RejectionsAreForWhatMaySafelyComeAgain) {
+// A rejection tells the client that it may repeat the request. If an unsafe request may have been executed,
+// the repeat would execute it twice.
+TEST_F(Retry, OnlyRequestsThatAreSafeToRepeatMayBeRejected) {
   ActiveRequest& unsafe = pool.open(kUnsafe);
   EXPECT_TRUE(policy.isSafeToReject(unsafe));
   pool.send(unsafe, 0);
@@ -89,12 +89,12 @@
   EXPECT_TRUE(policy.isSafeToReject(safe));
   ActiveRequest& keyed = pool.open(kKeyed);
   pool.send(keyed, 0);
-  EXPECT_FALSE(policy.isSafeToReject(keyed)) << "the client's repeat may come to another cell";
+  EXPECT_FALSE(policy.isSafeToReject(keyed)) << "the repeat may reach another cell";
 }
 
-TEST_F(Retry, LowScoresStayAwayLonger) {
+TEST_F(Retry, LowScoresGetALongerRetryAfter) {
   ActiveRequest& request = pool.open(kSafe);
-  EXPECT_EQ(policy.retryAfter(request, pool.random), Duration{}) << "clients take no hint";
+  EXPECT_EQ(policy.retryAfter(request, pool.random), Duration{}) << "clients do not honour Retry-After";
   pool.settings.retryAfterAllowed = true;
   pool.settings.maxRetryAfter = seconds(1);
   request.score = 1;
@@ -107,7 +107,7 @@
   EXPECT_LE(high, milliseconds(100));
 }
 
-TEST(RetryBudget, AllowsAShareOfTheRequests) {
+TEST(RetryBudget, AllowsAFractionOfTheRequests) {
   RetryBudget budget;
   int retries = 0;
   for (int i = 0; i < 1000; ++i) {
@@ -116,7 +116,7 @@
     budget.spend();
     ++retries;
   }
-  EXPECT_NEAR(retries, 303, 1) << "0.3 a request and 3 that were saved";
+  EXPECT_NEAR(retries, 303, 1) << "0.3 per request, plus 3 available at the start";
 }
 
 }  // namespace
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -7,36 +7,36 @@
 namespace cairnjunction::policy::testing {
 namespace {
 
-EndpointInfo startedNow() {
+EndpointInfo makeEndpointStartedNow() {
   EndpointInfo info = makeHost(9);
   info.startedAt = kStart;
   return info;
 }
 
-TEST(SlowStart, CapacityRisesFromItsInitialFraction) {
+TEST(SlowStart, CapacityFractionRisesFromTheInitialFraction) {
   Pool pool(1);
   const SlowStart slowStart(pool.settings, pool.rates);
-  const Endpoint& endpoint = pool.endpoints[pool.add(startedNow())];
+  const Endpoint& endpoint = pool.endpoints[pool.add(makeEndpointStartedNow())];
   EXPECT_NEAR(slowStart.capacityFraction(endpoint, kStart), 0.2, 1e-9);
   EXPECT_NEAR(slowStart.capacityFraction(endpoint, kStart + seconds(5)), 0.6, 1e-9);
   EXPECT_FALSE(slowStart.isActive(endpoint, kStart + seconds(10)));
   EXPECT_EQ(slowStart.capacityFraction(endpoint, kStart + seconds(10)), 1);
-  EXPECT_FALSE(slowStart.isActive(pool.endpoints[0], kStart)) << "no start is known: long past";
+  EXPECT_FALSE(slowStart.isActive(pool.endpoints[0], kStart)) << "unknown start time: long ago";
 }
 
-TEST(SlowStart, ARestartThatWasSeenCountsBeforeTheList) {
+TEST(SlowStart, DetectedRestartOverridesTheListedStart) {
   Pool pool(1);
   const SlowStart slowStart(pool.settings, pool.rates);
   pool.endpoints[0].restartedAfter = kStart;
   EXPECT_TRUE(slowStart.isActive(pool.endpoints[0], kStart + seconds(1)));
 }
 
-// 80 requests a second over two endpoints are 40 each; 0.2 of that, 0.45 of a collapse factor of 3, make 10.8
-// a second.
-TEST(SlowStart, SendsNoMoreThanItsPartOfWhatEndpointsCarry) {
+// 80 requests per second over two endpoints are 40 each; times 0.2 (slow start fraction), 0.45 and 3
+// (collapse load factor) this makes 10.8 per second.
+TEST(SlowStart, AdmitsNoMoreThanTheTokenRate) {
   Pool pool(1);
   const SlowStart slowStart(pool.settings, pool.rates);
-  const EndpointId id = pool.add(startedNow());
+  const EndpointId id = pool.add(makeEndpointStartedNow());
   pool.endpoints.rebuildOrder();
   Endpoint& endpoint = pool.endpoints[id];
   SlowStart::reset(endpoint, kStart, pool.random);
@@ -51,7 +51,7 @@
   EXPECT_LE(admitted, 14) << "the fraction rises in this second";
 }
 
-TEST(SlowStart, ProvenRatesFadeSlowly) {
+TEST(SlowStart, PeakAnswerRateDecaysSlowly) {
   Pool pool(1);
   const SlowStart slowStart(pool.settings, pool.rates);
   for (int i = 0; i < 100; ++i) {
--- a/tests/policy/tenant_quota_test.cpp
+++ b/tests/policy/tenant_quota_test.cpp
@@ -9,31 +9,31 @@
 
 constexpr Timestamp kStart{seconds(100)};
 
-Settings withTenant(double quotaPerSecond) {
+Settings makeSettingsWithQuota(double quotaPerSecond) {
   Settings settings = makeSettings();
   settings.gatewayCount = 2;
   settings.tenants = {{"metered", quotaPerSecond}, {"free", 0}};
   return settings;
 }
 
-TEST(TenantQuota, AGatewayAdmitsItsPartOfTheQuota) {
-  const Settings settings = withTenant(20);
+TEST(TenantQuota, GatewayAdmitsItsPartOfTheQuota) {
+  const Settings settings = makeSettingsWithQuota(20);
   TenantQuota quota(settings, kStart);
   int admitted = 0;
   for (int i = 0; i < 1000; ++i) admitted += quota.admit(0, kStart + milliseconds(10) * i) ? 1 : 0;
   EXPECT_NEAR(admitted, 100, 1) << "ten seconds at half of 20 a second";
 }
 
-TEST(TenantQuota, SavesUpOneSecondAtMost) {
-  const Settings settings = withTenant(20);
+TEST(TenantQuota, BucketHoldsAtMostOneSecondOfTokens) {
+  const Settings settings = makeSettingsWithQuota(20);
   TenantQuota quota(settings, kStart);
   int admitted = 0;
   for (int i = 0; i < 100; ++i) admitted += quota.admit(0, kStart + seconds(60)) ? 1 : 0;
   EXPECT_EQ(admitted, 10);
 }
 
-TEST(TenantQuota, WithoutAQuotaAllIsAdmitted) {
-  const Settings settings = withTenant(20);
+TEST(TenantQuota, RequestsWithoutAQuotaAreAlwaysAdmitted) {
+  const Settings settings = makeSettingsWithQuota(20);
   TenantQuota quota(settings, kStart);
   for (int i = 0; i < 100; ++i) {
     EXPECT_TRUE(quota.admit(1, kStart));
--- a/tests/policy/timer_queue_test.cpp
+++ b/tests/policy/timer_queue_test.cpp
@@ -12,7 +12,7 @@
 Timestamp at(int second) { return Timestamp(seconds(second)); }
 bool never(RequestRef) { return false; }
 
-TEST(TimerQueue, DueTimersComeInOrder) {
+TEST(TimerQueue, DueTimersAreReturnedInOrder) {
   TimerQueue timers;
   timers.schedule(at(3), {1, 1}, TimerKind::hedge);
   timers.schedule(at(1), {2, 1}, TimerKind::answerDeadline);
@@ -25,7 +25,7 @@
   EXPECT_EQ(timers.nextAt(never), at(3));
 }
 
-TEST(TimerQueue, AtOneMomentTheLowerSlotIsFirst) {
+TEST(TimerQueue, EqualTimesAreOrderedBySlot) {
   TimerQueue timers;
   timers.schedule(at(1), {5, 1}, TimerKind::hedge);
   timers.schedule(at(1), {4, 1}, TimerKind::hedge);
@@ -33,7 +33,7 @@
   EXPECT_EQ(timers.popDue(at(1))->request.slot, 5U);
 }
 
-TEST(TimerQueue, TimersOfRequestsThatAreOverDoNotWake) {
+TEST(TimerQueue, TimersOfEndedRequestsAreSkipped) {
   TimerQueue timers;
   timers.schedule(at(1), {1, 1}, TimerKind::answerDeadline);
   timers.schedule(at(2), {2, 1}, TimerKind::answerDeadline);
@@ -41,8 +41,8 @@
   EXPECT_EQ(timers.nextAt([](RequestRef) { return true; }), std::nullopt);
 }
 
-// Requests that end long before their deadlines would fill the queue with their timers.
-TEST(TimerQueue, ManyTimersOfRequestsThatAreOverArePurged) {
+// Otherwise timers of requests that end long before their deadlines would fill the queue.
+TEST(TimerQueue, ManyTimersOfEndedRequestsArePurged) {
   TimerQueue timers;
   timers.schedule(at(1), {0, 1}, TimerKind::answerDeadline);
   for (std::uint32_t slot = 1; slot <= 2000; ++slot)
--- a/tests/policy/traffic_rates_test.cpp
+++ b/tests/policy/traffic_rates_test.cpp
@@ -5,7 +5,7 @@
 namespace cairnjunction::policy::testing {
 namespace {
 
-TEST(TrafficRates, RatesApproachWhatIsRecorded) {
+TEST(TrafficRates, RatesConvergeToTheRecordedTraffic) {
   TrafficRates rates;
   for (int update = 0; update < 100; ++update) {
     for (int i = 0; i < 20; ++i) {
@@ -20,10 +20,10 @@
   EXPECT_EQ(rates.fastGain(), kFastGain);
 }
 
-// A gateway with next to no requests would take noise for a change; its means reach back further.
-TEST(TrafficRates, ConfidenceFallsWithTheTraffic) {
+// A gateway with very few requests would react to noise, so its means cover a longer time.
+TEST(TrafficRates, SampleConfidenceFallsWithTheTraffic) {
   TrafficRates rates;
-  EXPECT_EQ(rates.sampleConfidence(), 1) << "before anything was seen";
+  EXPECT_EQ(rates.sampleConfidence(), 1) << "initial value";
   for (int update = 0; update < 20; ++update) rates.update();
   EXPECT_EQ(rates.sampleConfidence(), 0.05);
   EXPECT_EQ(rates.fastGain(), 0.05 * kFastGain);
