--- a/tests/policy/connect_backoff_test.cpp
+++ b/tests/policy/connect_backoff_test.cpp
@@ -7,7 +7,7 @@
 namespace cairnjunction::policy::testing {
 namespace {
 
-TEST(ConnectBackoff, RestsLongerWithEachFailureOnEnd) {
+TEST(ConnectBackoff, BackoffDoublesWithEachConsecutiveFailure) {
   Pool pool(1);
   Endpoint& endpoint = pool.endpoints[0];
   for (const int expected : {1, 2, 4, 8, 8}) {
@@ -23,12 +23,12 @@
   EXPECT_TRUE(ConnectBackoff::mayConnect(endpoint, kStart));
 }
 
-TEST(ConnectBackoff, WithoutDescriptorsNothingIsConnectedForAMoment) {
+TEST(ConnectBackoff, NoNewConnectionsFor20MsAfterDescriptorsRunOut) {
   ConnectBackoff backoff;
-  EXPECT_TRUE(backoff.mayConnectAtAll(kStart));
+  EXPECT_TRUE(backoff.hasDescriptors(kStart));
   backoff.recordNoDescriptor(kStart);
-  EXPECT_FALSE(backoff.mayConnectAtAll(kStart));
-  EXPECT_TRUE(backoff.mayConnectAtAll(kStart + milliseconds(20)));
+  EXPECT_FALSE(backoff.hasDescriptors(kStart));
+  EXPECT_TRUE(backoff.hasDescriptors(kStart + milliseconds(20)));
 }
 
 }  // namespace
--- a/tests/policy/endpoint_list_poller_test.cpp
+++ b/tests/policy/endpoint_list_poller_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr Timestamp kStart{seconds(100)};
 
-Settings polling() {
+Settings pollingSettings() {
   Settings settings = makeSettings();
   settings.pollDiscovery = true;
   settings.maxPollInterval = seconds(10);
@@ -17,30 +17,30 @@
 }
 
 TEST(EndpointListPoller, PollsOnceAndThenWaitsForUpdates) {
-  const Settings settings = polling();
+  const Settings settings = pollingSettings();
   EndpointListPoller poller(settings);
-  EXPECT_TRUE(poller.beginPollIfDue(kStart));
-  EXPECT_FALSE(poller.beginPollIfDue(kStart + seconds(1)));
+  EXPECT_TRUE(poller.startPollIfDue(kStart));
+  EXPECT_FALSE(poller.startPollIfDue(kStart + seconds(1)));
   poller.onList(EndpointListKind::replace, kStart + seconds(1));
-  EXPECT_FALSE(poller.beginPollIfDue(kStart + seconds(3600)));
+  EXPECT_FALSE(poller.startPollIfDue(kStart + seconds(3600)));
 }
 
-TEST(EndpointListPoller, NeverPollsWhereListsComeByThemselves) {
+TEST(EndpointListPoller, NeverPollsWithoutPollDiscovery) {
   const Settings settings = makeSettings();
   EndpointListPoller poller(settings);
-  EXPECT_FALSE(poller.beginPollIfDue(kStart));
+  EXPECT_FALSE(poller.startPollIfDue(kStart));
 }
 
-TEST(EndpointListPoller, BacksOffWithJitterUpToAFifthOfTheLongestSilence) {
-  const Settings settings = polling();
+TEST(EndpointListPoller, BacksOffWithJitterUpToAFifthOfMaxPollInterval) {
+  const Settings settings = pollingSettings();
   EndpointListPoller poller(settings);
   Random random(1);
   Timestamp now = kStart;
   for (int failure = 0; failure < 20; ++failure) {
-    ASSERT_TRUE(poller.beginPollIfDue(now));
+    ASSERT_TRUE(poller.startPollIfDue(now));
     poller.onUnavailable(now, random);
     const Timestamp failedAt = now;
-    while (!poller.beginPollIfDue(now)) now += milliseconds(10);
+    while (!poller.startPollIfDue(now)) now += milliseconds(10);
     EXPECT_GE(now - failedAt, milliseconds(500));
     EXPECT_LE(now - failedAt, milliseconds(3010));
     poller.onUnavailable(now, random);
@@ -48,13 +48,13 @@
   }
 }
 
-// The answer to a poll was lost on the way. Without another poll this gateway would never have a list.
-TEST(EndpointListPoller, APollWithoutAnAnswerIsRepeated) {
-  const Settings settings = polling();
+// The answer to a poll was lost. Without another poll this gateway would never get a list.
+TEST(EndpointListPoller, UnansweredPollIsRepeated) {
+  const Settings settings = pollingSettings();
   EndpointListPoller poller(settings);
-  EXPECT_TRUE(poller.beginPollIfDue(kStart));
-  EXPECT_FALSE(poller.beginPollIfDue(kStart + seconds(5)));
-  EXPECT_TRUE(poller.beginPollIfDue(kStart + seconds(6)));
+  EXPECT_TRUE(poller.startPollIfDue(kStart));
+  EXPECT_FALSE(poller.startPollIfDue(kStart + seconds(5)));
+  EXPECT_TRUE(poller.startPollIfDue(kStart + seconds(6)));
 }
 
 }  // namespace
--- a/tests/policy/responsiveness_test.cpp
+++ b/tests/policy/responsiveness_test.cpp
@@ -7,7 +7,7 @@
 namespace cairnjunction::policy::testing {
 namespace {
 
-TEST(ResponsivenessMonitor, AnEndpointThatSaysNothingForLongIsUnresponsive) {
+TEST(ResponsivenessMonitor, EndpointWithoutAResponseForLongIsUnresponsive) {
   Pool pool(2);
   ActiveRequest& request = pool.open();
   pool.send(request, 0);
@@ -23,7 +23,7 @@
   EXPECT_FALSE(pool.endpoints[1].responsiveness.unresponsive) << "nothing was sent to it";
 }
 
-TEST(ResponsivenessMonitor, SettledAttemptsAreDropped) {
+TEST(ResponsivenessMonitor, SettledAttemptsAreIgnored) {
   Pool pool(1);
   ActiveRequest& request = pool.open();
   pool.send(request, 0);
@@ -31,7 +31,7 @@
   request.attempts[0].inFlight = false;
   ResponsivenessMonitor::update(pool.endpoints, pool.requests, 0.05, kStart + seconds(10));
   EXPECT_FALSE(pool.endpoints[0].responsiveness.unresponsive);
-  EXPECT_TRUE(pool.endpoints[0].responsiveness.sent.empty());
+  EXPECT_TRUE(pool.endpoints[0].responsiveness.sentRequests.empty());
 }
 
 }  // namespace
