--- a/tests/policy/configure_test.cpp
+++ b/tests/policy/configure_test.cpp
@@ -54,9 +54,9 @@
 TEST(Configure, InvalidSettingsThrowAndChangeNothing) {
   Settings settings = makeSettings();
   Driver driver(settings, 2);
-  Settings bad = settings;
-  bad.maxAttempts = 0;
-  EXPECT_THROW(driver.balancer.configure(driver.now, bad), std::invalid_argument);
+  Settings invalid = settings;
+  invalid.maxAttempts = 0;
+  EXPECT_THROW(driver.balancer.configure(driver.now, invalid), std::invalid_argument);
   driver.request(0);
   EXPECT_EQ(driver.lastSent().attempt, 0u);
 }
--- a/tests/policy/failures_test.cpp
+++ b/tests/policy/failures_test.cpp
@@ -23,28 +23,28 @@
 TEST(OutlierDetection, EndpointWithImmediateErrorsIsEjectedWithoutACutoff) {
   Driver driver(makeSettings(), 6);
   driver.warmUp(0, 60);
-  const EndpointId bad = driver.endpoint(2);
+  const EndpointId failing = driver.endpoint(2);
   driver.clearHistory();
   for (int i = 0; i < 600; ++i) {
     driver.request(0);
     driver.advance(milliseconds(10));
     for (std::size_t k = 0; k < driver.inFlight.size();) {
       const SentAttempt attempt = driver.inFlight[k];
-      if (attempt.endpoint == bad) driver.reportResult(attempt, Outcome::error, false);
+      if (attempt.endpoint == failing) driver.reportResult(attempt, Outcome::error, false);
       else if (driver.now - attempt.sentAt >= milliseconds(30)) driver.reportServed(attempt);
       else ++k;
     }
     EXPECT_EQ(driver.balancer.cutoff(), 0);
   }
-  EXPECT_LT(driver.countSentTo(bad), 30u) << "with nothing in flight it would be preferred";
-  EXPECT_GT(driver.countSentTo(bad), 3u) << "probes must find out when it is healthy again";
+  EXPECT_LT(driver.countSentTo(failing), 30u) << "with nothing in flight it would be preferred";
+  EXPECT_GT(driver.countSentTo(failing), 3u) << "probes must find out when it is healthy again";
 }
 
 // An ejected endpoint gets few requests, which must be enough to find out that it is healthy again.
 TEST(OutlierDetection, EjectedEndpointReturnsOnceItIsHealthy) {
   Driver driver(makeSettings(), 6);
   driver.warmUp(0, 60);
-  const EndpointId bad = driver.endpoint(2);
+  const EndpointId failing = driver.endpoint(2);
   bool broken = true;
   const auto sendRequests = [&](int count) {
     for (int i = 0; i < count; ++i) {
@@ -52,7 +52,8 @@
       driver.advance(milliseconds(10));
       for (std::size_t k = 0; k < driver.inFlight.size();) {
         const SentAttempt attempt = driver.inFlight[k];
-        if (attempt.endpoint == bad && broken) driver.reportResult(attempt, Outcome::connectFailed, false);
+        if (attempt.endpoint == failing && broken)
+          driver.reportResult(attempt, Outcome::connectFailed, false);
         else if (driver.now - attempt.sentAt >= milliseconds(30)) driver.reportServed(attempt);
         else ++k;
       }
@@ -63,7 +64,7 @@
   sendRequests(1200);
   driver.clearHistory();
   sendRequests(300);
-  EXPECT_GT(driver.countSentTo(bad) * 12, driver.sentAttempts.size());
+  EXPECT_GT(driver.countSentTo(failing) * 12, driver.sentAttempts.size());
 }
 
 // An endpoint that stops answering must get no more requests, even before its first attempts time out.
@@ -655,21 +656,21 @@
   settings.maxAttempts = 1;
   Driver driver(settings, 6);
   driver.warmUp(0, 60);
-  const EndpointId bad = driver.endpoint(0);
-  std::size_t toBad[2] = {0, 0};
+  const EndpointId failing = driver.endpoint(0);
+  std::size_t toFailing[2] = {0, 0};
   for (int i = 0; i < 1200; ++i) {
     const std::uint32_t classIndex = i % 4 == 0 ? 1 : 0;
     driver.request(classIndex);
     driver.advance(milliseconds(20), milliseconds(20));
     while (!driver.inFlight.empty()) {
       const SentAttempt attempt = driver.inFlight.front();
-      if (i >= 600 && attempt.endpoint == bad) ++toBad[classIndex];
-      const bool fails = classIndex == 1 && attempt.endpoint == bad;
+      if (i >= 600 && attempt.endpoint == failing) ++toFailing[classIndex];
+      const bool fails = classIndex == 1 && attempt.endpoint == failing;
       driver.reportResult(attempt, fails ? Outcome::error : Outcome::served, !fails);
     }
   }
-  EXPECT_LT(toBad[1], 10u);  // of 150; an even share would be 25
-  EXPECT_GT(toBad[0], 40u);  // of 450; an even share would be 75
+  EXPECT_LT(toFailing[1], 10u);  // of 150; an even share would be 25
+  EXPECT_GT(toFailing[0], 40u);  // of 450; an even share would be 75
 }
 
 // An endpoint that was overloaded for one class only, and served the others, still got requests of that
@@ -679,21 +680,21 @@
   settings.maxAttempts = 1;
   Driver driver(settings, 6);
   driver.warmUp(0, 60);
-  const EndpointId bad = driver.endpoint(0);
-  std::size_t toBad[2] = {0, 0};
+  const EndpointId failing = driver.endpoint(0);
+  std::size_t toFailing[2] = {0, 0};
   for (int i = 0; i < 1200; ++i) {
     const std::uint32_t classIndex = i % 4 == 0 ? 1 : 0;
     driver.request(classIndex);
     driver.advance(milliseconds(20), milliseconds(20));
     while (!driver.inFlight.empty()) {
       const SentAttempt attempt = driver.inFlight.front();
-      if (i >= 600 && attempt.endpoint == bad) ++toBad[classIndex];
-      const bool overloaded = classIndex == 1 && attempt.endpoint == bad;
+      if (i >= 600 && attempt.endpoint == failing) ++toFailing[classIndex];
+      const bool overloaded = classIndex == 1 && attempt.endpoint == failing;
       driver.reportResult(attempt, overloaded ? Outcome::overloaded : Outcome::served, !overloaded);
     }
   }
-  EXPECT_LT(toBad[1], 10u);  // of 150; an even share would be 25
-  EXPECT_GT(toBad[0], 40u);  // of 450; an even share would be 75
+  EXPECT_LT(toFailing[1], 10u);  // of 150; an even share would be 25
+  EXPECT_GT(toFailing[0], 40u);  // of 450; an even share would be 75
 }
 
 // Requests with less time left than answers take were sent all the same during an overload, and timed out.
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -425,6 +425,7 @@
 
 // --- Settings ---
 
+// Messages name a setting by the operators' key or by the class that it belongs to.
 TEST(SettingsValidation, InvalidSettingThrowsWithItsName) {
   const auto message = [](const Settings& settings) -> std::string {
     try {
