--- a/src/membership/endpoint_health.cpp
+++ b/src/membership/endpoint_health.cpp
@@ -27,7 +27,7 @@
                             const std::vector<ListedEndpoint>& endpoints) {
   if (kind == EndpointListKind::unavailable) return;
   if (kind != EndpointListKind::restored) staleness_.onAnswer(now);
-  if (!endpoints.empty()) staleness_.onChanges();
+  if (!endpoints.empty()) staleness_.onListChanged();
   if (kind != EndpointListKind::update)
     for (EndpointRecord& record : records_) record.list.state = EndpointState::removed;
   for (const ListedEndpoint& entry : endpoints)
@@ -36,8 +36,8 @@
 
 void EndpointHealth::applyEntry(Timestamp now, const ListedEndpoint& entry) {
   ListRecord& list = recordFor(entry.endpoint).list;
-  // A later start is a new process, of which nothing is known. An earlier start comes from a list that is
-  // behind, so it does not count against what was seen since.
+  // A later start time means a new process, about which nothing is known. An earlier start time comes from an
+  // outdated list, so it does not override what was observed since.
   const bool restarted = entry.startedAt > list.startedAt;
   const bool undrained = entry.state == EndpointState::active && list.state == EndpointState::draining;
   list.known = true;
@@ -65,20 +65,20 @@
 
 // --- Connections and attempts -----------------------------------------------------------------------------
 
-void EndpointHealth::onConnections(Timestamp now, EndpointId endpoint, std::uint32_t open) {
+void EndpointHealth::onConnections(Timestamp now, EndpointId endpoint, std::uint32_t established) {
   EndpointRecord& record = recordFor(endpoint);
-  record.connections.open = open;
+  record.connections.established = established;
   if (!record.list.known) return;
-  // A process that dies may refuse a new connection before the ends of the open ones are seen. So the refusal
-  // that looked like its limit counts as one of a process that is gone once none is open.
-  if (record.connections.atLimit && open == 0)
+  // A terminating process may refuse a new connection before this gateway sees the open ones close. Such a
+  // refusal looks like a connection limit at first; once no connection is left, the process has ended.
+  if (record.connections.atLimit && established == 0)
     setUnreachable(record, now, ConditionReason::connectionRefused);
 }
 
 void EndpointHealth::onAttemptStarted(EndpointId endpoint, policy::RequestId request, std::uint32_t attempt) {
   EndpointRecord* record = findKnown(endpoint);
   if (!record || record->reachability.reported != Reachability::probeOnly) return;
-  record->reachability.reported = Reachability::unreachable;  // as the load balancer does when it sends
+  record->reachability.reported = Reachability::unreachable;  // the load balancer changes it too on sending
   record->reachability.probes.pending = AttemptId{request, attempt};
 }
 
@@ -111,7 +111,7 @@
   }
 }
 
-// Any response, whatever it says, comes from a process that accepts connections.
+// Any response, also an error or a malformed one, proves that the process accepts connections.
 void EndpointHealth::onResponse(EndpointRecord& record, Timestamp now, const AttemptResult& result) {
   record.responses.onResponse(now, result.outcome == Outcome::overloaded);
   record.connections.connectTimeouts = 0;
@@ -123,10 +123,10 @@
   ConnectionRecord& connections = record.connections;
   if (result.failureReason == FailureReason::connectionRefused) {
     connections.refusedAt = now;
-    if (connections.open > 0) connections.atLimit = true;
+    if (connections.established > 0) connections.atLimit = true;
     else setUnreachable(record, now, ConditionReason::connectionRefused);
   } else if (result.failureReason == FailureReason::connectTimeout) {
-    // It may be too busy for a new connection, and respond on those that it has.
+    // The endpoint responded meanwhile on another connection, so it may only be too busy to accept a new one.
     if (record.responses.respondedAt > now - result.elapsed) return;
     ++connections.connectTimeouts;
     if (connections.connectTimeouts >= settings_.connectTimeoutLimit)
@@ -143,14 +143,14 @@
   reachability.unreachable = true;
   reachability.since = now;
   reachability.probes = ProbeRecord{};
-  reachability.probes.triedAt = now;
+  reachability.probes.lastTriedAt = now;
   record.connections.atLimit = false;
   scheduleProbe(record, now);
   report(record, Reachability::unreachable);
 }
 
-// A process that accepts connections where one refused them is a new one: slow start holds for it from the
-// refusal on, whatever the list says of its start.
+// An endpoint that accepts connections after it refused one has a new process. Its slow start counts from the
+// refusal, whatever start time the list gives.
 void EndpointHealth::setReachable(EndpointRecord& record, Timestamp now) {
   ReachabilityRecord& reachability = record.reachability;
   const bool newProcess = reachability.reason == ConditionReason::connectionRefused;
@@ -163,12 +163,13 @@
 
 void EndpointHealth::onProbeEnded(EndpointRecord& record, Timestamp now, const AttemptResult& result) {
   ProbeRecord& probes = record.reachability.probes;
-  probes.triedAt = now;
-  // A probe that never left this gateway says nothing of the endpoint, and does not lengthen the backoff.
-  const bool saysSomething = result.outcome == Outcome::reset || result.outcome == Outcome::timeout ||
-                             result.failureReason == FailureReason::connectionRefused ||
-                             result.failureReason == FailureReason::connectTimeout;
-  if (saysSomething) ++probes.failures;
+  probes.lastTriedAt = now;
+  // A probe that never left this gateway gives no information about the endpoint and does not lengthen the
+  // backoff.
+  const bool endpointFailed = result.outcome == Outcome::reset || result.outcome == Outcome::timeout ||
+                              result.failureReason == FailureReason::connectionRefused ||
+                              result.failureReason == FailureReason::connectTimeout;
+  if (endpointFailed) ++probes.failures;
   scheduleProbe(record, now);
 }
 
@@ -188,15 +189,15 @@
   EndpointRecord* record = findKnown(endpoint);
   if (!record || !record->reachability.unreachable) return;
   ProbeRecord& probes = record->reachability.probes;
-  const Duration longest = policy::scaled(settings_.delegationMaxDuration, 0.5 + 0.5 * settings_.jitter);
-  probes.delegatedUntil = std::max(now, std::min(until, probes.triedAt + longest));
+  const Duration maxDuration = policy::scaled(settings_.delegationMaxDuration, 0.5 + 0.5 * settings_.jitter);
+  probes.delegatedUntil = std::max(now, std::min(until, probes.lastTriedAt + maxDuration));
 }
 
 void EndpointHealth::onRemoteProbeResult(Timestamp now, EndpointId endpoint, Duration age) {
   EndpointRecord* record = findKnown(endpoint);
   if (!record || !record->reachability.unreachable) return;
   const ProbeRecord& probes = record->reachability.probes;
-  if (!probes.pending && now - age > probes.triedAt) setReachable(*record, now);
+  if (!probes.pending && now - age > probes.lastTriedAt) setReachable(*record, now);
 }
 
 void EndpointHealth::report(EndpointRecord& record, Reachability reachability, Duration unreachableFor) {
--- a/src/membership/endpoint_health.hpp
+++ b/src/membership/endpoint_health.hpp
@@ -1,14 +1,15 @@
-// What is known of each endpoint, and the status that follows. Three sources speak of an endpoint: the list,
-// the connections to it, and the outcomes of attempts. Each is recorded by itself; the status and its reason
-// are derived from all, and decide whether the load balancer may send there (policy::Reachability).
+// Tracks the health of each endpoint and derives its status. There are three sources of information about an
+// endpoint: the endpoint list, the connections to it, and the outcomes of attempts. Each source is recorded
+// separately. The status and its reason are derived from all of them, and determine whether the load balancer
+// may send to the endpoint (policy::Reachability).
 //
-// This does no I/O, reads no clock, and decides nothing that the load balancer decides: it only excludes
-// endpoints that can't be reached, and lets one request at a time probe whether they are back.
+// This class does no I/O, reads no clock, and makes no load balancing decision: it only excludes endpoints
+// that cannot be reached, and lets one request at a time probe whether they are reachable again.
 //
-// The list may be late, so it is one source beside the others:
-//  - an endpoint that the list has active and that refuses connections is unreachable at once;
-//  - one that the list has drained or removed is not put back by any other source;
-//  - a new start or a new address in the list ends what was recorded of the process before.
+// The list may be out of date, so it does not override the other sources in every case:
+//  - an endpoint that is active in the list but refuses connections becomes unreachable at once;
+//  - an endpoint that the list drains or removes is not reinstated by any other source;
+//  - a later start time or a new address in the list discards the failures recorded for the previous process.
 #pragma once
 
 #include <cstddef>
@@ -28,71 +29,77 @@
  public:
   using Settings = EndpointHealthSettings;
 
-  // For the load balancer: whether it may send to an endpoint from now on.
+  // A change of reachability, to be passed to the load balancer.
   struct ReachabilityChange {
     policy::EndpointId endpoint = policy::kNone;
     policy::Reachability reachability = policy::Reachability::reachable;
-    // With `reachable`: its process started after this, by what was seen of it; zero if nothing was.
+    // With `reachable`: the endpoint's process started after this time, as concluded from a refused
+    // connection; zero if no new process was observed.
     policy::Timestamp startedAfter{};
-    // Why it is unreachable, or was until now.
+    // Why the endpoint is unreachable, or was until now.
     ConditionReason reason = ConditionReason::connectionRefused;
-    // With `reachable`: how long it was not.
+    // With `reachable`: how long the endpoint was unreachable.
     policy::Duration unreachableFor{};
   };
 
-  // An entry of the list, by the load balancer's id of its endpoint.
+  // An entry of the endpoint list.
   struct ListedEndpoint {
-    policy::EndpointId endpoint = policy::kNone;  // none: removed, and so not numbered any more
+    policy::EndpointId endpoint =
+        policy::kNone;  // id in the load balancer; kNone: removed, has no id any more
     policy::EndpointState state = policy::EndpointState::active;
-    policy::Timestamp startedAt{};  // the latest start of its process; zero = long ago
+    policy::Timestamp startedAt{};  // latest start of its process; zero: long ago
   };
 
   explicit EndpointHealth(const Settings& settings);
   void setSlowStartDuration(policy::Duration duration) { settings_.slowStartDuration = duration; }
 
-  // --- Events; `now` never goes back.
+  // --- Events. `now` must never decrease from one call to the next.
 
-  // The list has come. With `replace` or `restored` an endpoint that it does not name is removed; `restored`
-  // is a list from before the start of the program.
+  // Applies an endpoint list. With `replace` and `restored`, endpoints that are not in `endpoints` are
+  // removed. `restored` marks a list that was stored before this program started; `unavailable` is ignored.
   void onList(policy::Timestamp now, policy::EndpointListKind kind,
               const std::vector<ListedEndpoint>& endpoints);
-  // The list has given the endpoint another address.
+  // The endpoint has a new address in the list: discards the failures recorded for the previous process, and
+  // makes the endpoint reachable.
   void onAddressChanged(policy::Timestamp now, policy::EndpointId endpoint);
-  // `open`: connections to it that are established (not those being opened); called at each change.
-  void onConnections(policy::Timestamp now, policy::EndpointId endpoint, std::uint32_t open);
+  // To be called at each change of `established`, the number of established connections to the endpoint;
+  // connections that are still being opened do not count.
+  void onConnections(policy::Timestamp now, policy::EndpointId endpoint, std::uint32_t established);
   void onAttemptStarted(policy::EndpointId endpoint, policy::RequestId request, std::uint32_t attempt);
   void onAttemptEnded(policy::Timestamp now, const policy::AttemptResult& result);
-  // Its number is free, and may be given to another endpoint.
+  // Deletes all that is recorded of the endpoint. Its id is free and may be assigned to another endpoint.
   void forget(policy::EndpointId endpoint);
-  // Another gateway of the fleet probes this endpoint until then, and reports what it finds.
+  // Starts no probes of the endpoint before `until`, since another gateway of the fleet probes it and reports
+  // the results. The delay is bounded by EndpointHealthSettings::delegationMaxDuration.
   void delegateProbing(policy::Timestamp now, policy::EndpointId endpoint, policy::Timestamp until);
-  // Another gateway found, so long ago, that it accepts connections. What this gateway has seen since counts
-  // more.
+  // Another gateway found that the endpoint accepts connections; `age` is the time since then. Ignored if
+  // this gateway has tried the endpoint more recently.
   void onRemoteProbeResult(policy::Timestamp now, policy::EndpointId endpoint, policy::Duration age);
-  // Starts the probes that are due. To be called every 100 ms or so; more often does no harm.
+  // Offers the probes that are due to the load balancer. To be called about every 100 ms; calling it more
+  // often does no harm.
   void onTick(policy::Timestamp now);
-  // The resync that was requested was not answered; it may be requested again sooner.
+  // Discovery did not answer the requested resync; the next one may be requested sooner.
   void onResyncFailed(policy::Timestamp now) { staleness_.onResyncFailed(now); }
 
-  // --- What follows.
+  // --- Results and queries.
 
-  // The changes since the last call, in order.
+  // Returns the changes since the last call, in order.
   std::vector<ReachabilityChange> takeChanges();
-  // Whether discovery is to be asked for the list beside the watch, since the list contradicts what is seen.
-  // True at most as often as the settings allow.
+  // Returns whether to request a resync now, in addition to the watch, because the list contradicts the
+  // observed state of the endpoints. Returns true at most once for each pause of the settings.
   bool takeResyncRequest(policy::Timestamp now);
 
-  // Removed, if no list has named it.
+  // Returns the condition `removed` for an endpoint that no list has named.
   EndpointStatus statusOf(policy::EndpointId endpoint, policy::Timestamp now) const;
-  // Since discovery last answered.
+  // Time since discovery last answered.
   policy::Duration listAge(policy::Timestamp now) const { return staleness_.age(now); }
-  // The endpoints that the list has active or draining.
+  // The endpoints that are active or draining in the list.
   std::vector<ListedEndpoint> listedEndpoints() const;
-  // The endpoints that the list has active and that are unreachable.
+  // The endpoints that are active in the list and unreachable.
   std::vector<policy::EndpointId> unreachableEndpoints() const;
-  std::size_t activeCount() const;       // endpoints that the list has active
-  std::size_t unreachableCount() const;  // of these, unreachable
-  std::uint64_t probesStarted() const { return probes_.probesStarted(); }  // since the start
+  std::size_t activeCount() const;       // endpoints that are active in the list
+  std::size_t unreachableCount() const;  // number of unreachableEndpoints()
+  std::uint64_t probesStarted() const { return probes_.probesStarted(); }  // since construction
 
  private:
   EndpointRecord& recordFor(policy::EndpointId endpoint);
@@ -110,7 +117,7 @@
   ListContradictions contradictions(policy::Timestamp now) const;
 
   Settings settings_;
-  std::vector<EndpointRecord> records_;  // by EndpointId: small numbers, which are given out again
+  std::vector<EndpointRecord> records_;  // by EndpointId; ids are small numbers that are reused
   std::vector<ReachabilityChange> changes_;
   ProbeScheduler probes_;
   ListStaleness staleness_;
--- a/src/membership/endpoint_record.cpp
+++ b/src/membership/endpoint_record.cpp
@@ -36,7 +36,7 @@
   if (responses.overloaded(settings, now)) return {EndpointCondition::suspect, ConditionReason::overloaded};
   const Timestamp start = std::max(list.startedAt, reachability.startedAfter);
   if (start > Timestamp{} && now - start < settings.slowStartDuration)
-    return {EndpointCondition::warmingUp, ConditionReason::justStarted};
+    return {EndpointCondition::slowStart, ConditionReason::justStarted};
   return {EndpointCondition::serving, ConditionReason::listed};
 }
 
--- a/src/membership/endpoint_record.hpp
+++ b/src/membership/endpoint_record.hpp
@@ -1,6 +1,6 @@
-// What is known of one endpoint, by source, and the status that follows from it.
+// The health record of one endpoint, grouped by source, and the status that is derived from it.
 //
-// A time of zero (Timestamp{}) means that the event has not happened.
+// A zero timestamp (Timestamp{}) means that the event has not happened.
 #pragma once
 
 #include <cstdint>
@@ -12,35 +12,38 @@
 
 namespace cairnjunction {
 
-// What the list says.
+// From the endpoint list.
 struct ListRecord {
-  bool known = false;  // a list has named it since it was forgotten; without that nothing else is recorded
+  // Whether a list has named the endpoint since EndpointHealth::forget. Until then only the number of its
+  // connections is recorded.
+  bool known = false;
   policy::EndpointState state = policy::EndpointState::removed;
-  policy::Timestamp startedAt{};  // the latest start that any list gave; never goes back
+  policy::Timestamp startedAt{};  // latest start time in any list; never decreases
 };
 
-// What its connections show.
+// From the connections to the endpoint.
 struct ConnectionRecord {
-  std::uint32_t open = 0;         // connections that are established
-  int connectTimeouts = 0;        // in a row, without a response meanwhile
-  bool atLimit = false;           // it refused a connection while others were open
-  policy::Timestamp refusedAt{};  // the last refusal
+  std::uint32_t established = 0;  // connections; those being opened do not count
+  int connectTimeouts = 0;        // consecutive, without a response in between
+  bool atLimit = false;           // it refused a connection while others were established
+  policy::Timestamp refusedAt{};  // last refusal
 };
 
-// What its responses show.
+// From the responses of the endpoint, or their absence.
 struct ResponseRecord {
-  policy::Timestamp respondedAt{};       // the last response
-  policy::Timestamp connectionLostAt{};  // the last time that a connection broke during an attempt
-  policy::Timestamp timedOutAt{};        // the last time that an attempt timed out with no response during it
-  int rejections = 0;                    // in a row
-  policy::Timestamp rejectingSince{};    // the first of that row; meaningless while there is none
+  policy::Timestamp respondedAt{};       // last response
+  policy::Timestamp connectionLostAt{};  // last time that a connection broke during an attempt
+  policy::Timestamp timedOutAt{};        // last time that an attempt timed out without a response during it
+  int rejections = 0;                    // consecutive
+  policy::Timestamp rejectingSince{};    // first of the consecutive rejections; meaningless if there are none
 
+  // Records a response; `rejected`: it rejects the request because of overload.
   void onResponse(policy::Timestamp now, bool rejected);
-  // Whether it has rejected everything for long enough that it is no short peak.
+  // Whether the endpoint has rejected all requests for longer than a short load peak lasts.
   bool overloaded(const EndpointHealthSettings& settings, policy::Timestamp now) const;
 };
 
-// An attempt, by the request that it belongs to and its number there.
+// Identifies an attempt by its request and its number within that request.
 struct AttemptId {
   policy::RequestId request = 0;
   std::uint32_t attempt = 0;
@@ -48,26 +51,26 @@
   bool operator==(const AttemptId&) const = default;
 };
 
-// Probes of an endpoint that is unreachable. All of it begins anew when it becomes so.
+// Probes of an unreachable endpoint. Reset each time the endpoint becomes unreachable.
 struct ProbeRecord {
-  std::optional<AttemptId> pending;    // the probe that is out; there is one at a time
-  int failures = 0;                    // in a row; only those that say something of the endpoint
-  policy::Timestamp dueAt{};           // no probe before
-  policy::Timestamp triedAt{};         // when this gateway last tried it
-  policy::Timestamp delegatedUntil{};  // other gateways probe it until then
+  std::optional<AttemptId> pending;  // the probe in flight; at most one at a time
+  int failures = 0;                  // failed probes since the endpoint became unreachable; local failures
+                                     // of this gateway do not count
+  policy::Timestamp dueAt{};         // earliest start of the next probe
+  policy::Timestamp lastTriedAt{};   // when this gateway last found the endpoint unreachable or ended a probe
+  policy::Timestamp delegatedUntil{};  // other gateways probe the endpoint until this time
 };
 
-// Whether it can be reached.
 struct ReachabilityRecord {
   bool unreachable = false;
-  ConditionReason reason = ConditionReason::connectionRefused;  // why it is unreachable, or last was
+  ConditionReason reason = ConditionReason::connectionRefused;  // why it is, or last was, unreachable
   policy::Timestamp since{};                                    // when it last became unreachable
-  // Its process started after this, since a connection was refused then and accepted later.
+  // The endpoint's process started after this time: a connection was refused then and one accepted later.
   policy::Timestamp startedAfter{};
-  // As last reported to the load balancer, which itself changes `probeOnly` to `unreachable` when it sends
-  // the probe.
+  // As last reported to the load balancer. The load balancer itself changes `probeOnly` to `unreachable` when
+  // it sends the probe.
   policy::Reachability reported = policy::Reachability::reachable;
-  ProbeRecord probes;  // meaningful while unreachable
+  ProbeRecord probes;  // meaningful only while unreachable
 };
 
 struct EndpointRecord {
@@ -77,10 +80,11 @@
   ReachabilityRecord reachability;
 
   bool active() const { return list.state == policy::EndpointState::active; }
-  // The list comes first: no other source undoes a drain or a removal. Then what was seen, the gravest first.
+  // The list takes precedence: no other source undoes a drain or a removal. The other findings follow in
+  // decreasing order of severity.
   EndpointStatus status(const EndpointHealthSettings& settings, policy::Timestamp now) const;
-  // Whether a probe may start: the list has it active, it is unreachable, no probe is offered or pending, and
-  // neither its backoff nor the term of another gateway lasts.
+  // Whether a probe may start: the endpoint is active in the list and unreachable, no probe is offered or
+  // pending, and neither the backoff nor the delegation to another gateway is still running.
   bool probeDue(policy::Timestamp now) const;
 };
 
--- a/src/membership/endpoint_status.cpp
+++ b/src/membership/endpoint_status.cpp
@@ -5,7 +5,7 @@
 std::string_view nameOf(EndpointCondition condition) {
   switch (condition) {
     case EndpointCondition::serving: return "serving";
-    case EndpointCondition::warmingUp: return "cold";
+    case EndpointCondition::slowStart: return "cold";
     case EndpointCondition::suspect: return "suspect";
     case EndpointCondition::unreachable: return "unreachable";
     case EndpointCondition::draining: return "draining";
--- a/src/membership/endpoint_status.hpp
+++ b/src/membership/endpoint_status.hpp
@@ -1,4 +1,4 @@
-// What an endpoint's status can be, and why.
+// The status of an endpoint: its condition, and the reason for it.
 #pragma once
 
 #include <string_view>
@@ -7,27 +7,27 @@
 
 enum class EndpointCondition {
   serving,
-  warmingUp,    // serves, within the slow start of its process
-  suspect,      // something speaks against it; it still gets requests
-  unreachable,  // no connection to it can be had: it gets probes only
-  draining,     // by the list: it gets nothing new
-  removed       // by the list, or a full list does not name it
+  slowStart,    // serving, but its process started recently and is still in slow start
+  suspect,      // shows signs of a failure; still receives requests
+  unreachable,  // accepts no connection; receives probes only
+  draining,     // draining in the list; receives no new requests
+  removed       // removed by the list, or missing from a full list
 };
-// As log lines and figures name it.
+// The name in log lines and metrics.
 std::string_view nameOf(EndpointCondition condition);
 
 enum class ConditionReason {
-  listed,             // the list names it and nothing speaks against it
-  justStarted,        // its process started lately, by the list or by what was seen
-  connectionRefused,  // it refused a connection, and none is open
-  connectionLimit,    // it refused a connection while others are open: it holds as many as it wants
-  connectTimeout,     // a new connection didn't come up, and there was no response since it was begun
-  connectionLost,     // a connection broke during an attempt, and there was no response since
-  attemptTimeout,     // an attempt timed out, and there was no response since it was sent
-  overloaded,         // it responds, and has for a while rejected all that it was sent
-  listUpdate          // by the list
+  listed,             // in the list, with no sign of a failure
+  justStarted,        // its process started recently, by the list or by a refused connection
+  connectionRefused,  // it refused a connection, and none is established
+  connectionLimit,    // it refused a connection while others were established: it is at its limit
+  connectTimeout,     // a new connection was not established in time, without a response since its start
+  connectionLost,     // a connection broke during an attempt, without a response since
+  attemptTimeout,     // an attempt timed out, without a response since it was sent
+  overloaded,         // it responds, but has rejected all requests for some time
+  listUpdate          // drained or removed by the list
 };
-// As log lines and figures name it.
+// The text in log lines and metrics.
 std::string_view nameOf(ConditionReason reason);
 
 struct EndpointStatus {
--- a/src/membership/list_staleness.cpp
+++ b/src/membership/list_staleness.cpp
@@ -17,21 +17,22 @@
 Duration ListStaleness::staleAfter() const { return scaled(settings_.staleAfter, 0.5 + settings_.jitter); }
 
 bool ListStaleness::takeResyncRequest(Timestamp now, const ListContradictions& contradictions) {
-  if (!contradictions.any()) {
-    // The next contradiction is a new one. But one that comes and goes does not shorten the pause.
-    if (now >= nextRequestAt_) requests_ = 0;
+  if (!contradictions.listMayBeStale()) {
+    // The next contradiction counts as a new one, except within the pause: an intermittent contradiction must
+    // not shorten it.
+    if (now >= nextRequestAt_) consecutiveRequests_ = 0;
     return false;
   }
   if (now < nextRequestAt_) return false;
   const Duration pause =
-      settings_.resyncInitialBackoff * (1 << std::min(requests_, settings_.resyncMaxDoublings));
+      settings_.resyncInitialBackoff * (1 << std::min(consecutiveRequests_, settings_.resyncMaxDoublings));
   nextRequestAt_ = now + withJitter(pause);
-  ++requests_;
+  ++consecutiveRequests_;
   return true;
 }
 
 void ListStaleness::onResyncFailed(Timestamp now) {
-  requests_ = std::max(requests_ - 1, 0);
+  consecutiveRequests_ = std::max(consecutiveRequests_ - 1, 0);
   nextRequestAt_ = std::min(nextRequestAt_, now + withJitter(settings_.resyncRetryAfterFailure));
 }
 
--- a/src/membership/probe_scheduler.cpp
+++ b/src/membership/probe_scheduler.cpp
@@ -12,11 +12,13 @@
 
 namespace {
 
-constexpr int kMaxProbeDoublings = 16;  // far beyond any bound of the settings; keeps the shift defined
-// Tokens that are saved while no endpoint is unreachable. A second's worth would delay many requests at once.
+constexpr int kMaxProbeDoublings =
+    16;  // more than any maximum in the settings needs; keeps the shift defined
+// Maximum number of tokens, reached while no endpoint is unreachable. The tokens of a whole second would
+// delay many requests at once.
 constexpr double kProbeBurst = 4;
 
-Duration exponential(Duration initial, int doublings, Duration max) {
+Duration exponentialBackoff(Duration initial, int doublings, Duration max) {
   return std::min(initial * (std::int64_t{1} << std::min(doublings, kMaxProbeDoublings)), max);
 }
 
@@ -24,30 +26,31 @@
 
 void ProbeRateLimiter::refill(Timestamp now) {
   if (refilledAt_ > Timestamp{}) {
-    const double passed = policy::toSeconds(now - refilledAt_);
-    tokens_ = std::min(tokens_ + passed * perSecond_, kProbeBurst);
+    const double elapsedSeconds = policy::toSeconds(now - refilledAt_);
+    tokens_ = std::min(tokens_ + elapsedSeconds * perSecond_, kProbeBurst);
   }
   refilledAt_ = now;
 }
 
 Duration probeBackoff(const EndpointHealthSettings& settings, ConditionReason reason, int failures) {
   if (reason == ConditionReason::connectTimeout)
-    return exponential(settings.silentProbeInitialBackoff, failures, settings.silentProbeMaxBackoff);
-  return exponential(settings.probeInitialBackoff, failures, settings.probeMaxBackoff);
+    return exponentialBackoff(settings.connectTimeoutProbeInitialBackoff, failures,
+                              settings.connectTimeoutProbeMaxBackoff);
+  return exponentialBackoff(settings.probeInitialBackoff, failures, settings.probeMaxBackoff);
 }
 
 std::vector<EndpointId> ProbeScheduler::chooseDue(Timestamp now, std::size_t count,
                                                   const std::function<bool(EndpointId)>& isDue) {
   limiter_.refill(now);
   std::vector<EndpointId> chosen;
-  const std::size_t begin = next_;
-  for (std::size_t i = 0; i < count && limiter_.available(); ++i) {
+  const std::size_t begin = nextIndex_;
+  for (std::size_t i = 0; i < count && limiter_.hasToken(); ++i) {
     const std::size_t index = (begin + i) % count;
     const auto endpoint = static_cast<EndpointId>(index);
     if (!isDue(endpoint)) continue;
-    limiter_.take();
+    limiter_.takeToken();
     ++probesStarted_;
-    next_ = index + 1;
+    nextIndex_ = index + 1;
     chosen.push_back(endpoint);
   }
   return chosen;
--- a/src/membership/settings.hpp
+++ b/src/membership/settings.hpp
@@ -1,4 +1,4 @@
-// The settings of endpoint health; docs/design/limits.md has the reason of each group.
+// Settings of EndpointHealth. docs/design/limits.md gives the reasons for the values.
 #pragma once
 
 #include <chrono>
@@ -8,37 +8,42 @@
 namespace cairnjunction {
 
 struct EndpointHealthSettings {
-  policy::Duration slowStartDuration{};  // after the start of a process
+  policy::Duration slowStartDuration{};  // counted from the start of the endpoint's process
 
-  // Backoff of the probes of one unreachable endpoint: the first, and the most that it is doubled to.
+  // Backoff between the probes of one unreachable endpoint: the initial pause, which doubles with each
+  // failure, and its maximum.
   policy::Duration probeInitialBackoff = std::chrono::milliseconds(100);
   policy::Duration probeMaxBackoff = std::chrono::milliseconds(800);
-  // The same if connections to it time out: each probe then costs its request the time for connecting.
-  policy::Duration silentProbeInitialBackoff = std::chrono::milliseconds(500);
-  policy::Duration silentProbeMaxBackoff = std::chrono::seconds(4);
-  // Over all endpoints. Each probe is a request that may start late.
+  // The same for an endpoint that is unreachable because of connect timeouts. It is probed less often, since
+  // each probe delays its request by a whole connect timeout.
+  policy::Duration connectTimeoutProbeInitialBackoff = std::chrono::milliseconds(500);
+  policy::Duration connectTimeoutProbeMaxBackoff = std::chrono::seconds(4);
+  // Probes per second over all endpoints. Bounded since each probe is a request that may be delayed.
   double probesPerSecond = 20;
 
-  // An endpoint is unreachable after so many connect timeouts in a row without a response.
+  // Consecutive connect timeouts without a response after which an endpoint is unreachable.
   int connectTimeoutLimit = 2;
-  // An endpoint is overloaded after so many rejections in a row that span at least this time; fewer are a
-  // peak.
+  // An endpoint is overloaded after this many consecutive rejections that span at least this duration.
+  // Anything below is taken for a short load peak.
   int overloadedStreak = 8;
   policy::Duration overloadedDuration = std::chrono::milliseconds(500);
 
-  // How long another gateway's probes replace this one's at most, since this one last tried the endpoint. It
-  // bounds the harm of a gateway that reports wrongly. Drawn by `jitter` from half of it up.
+  // Maximum time that another gateway's probes replace those of this gateway, counted from this gateway's
+  // last try. It bounds the harm done by a gateway that reports wrong results. `jitter` scales it by a factor
+  // from 0.5 to 1.
   policy::Duration delegationMaxDuration = std::chrono::seconds(10);
 
-  // The list may be stale once it contradicts what is seen of the endpoints for so long; drawn by `jitter`.
+  // An endpoint contradicts the list once it has been unreachable for this long. `jitter` scales it by a
+  // factor from 0.5 to 1.5.
   policy::Duration staleAfter = std::chrono::milliseconds(400);
-  // Pause between requests for a resync: the first, and how often it is doubled at most.
+  // Pause between resync requests: the initial one, and the maximum number of times that it is doubled.
   policy::Duration resyncInitialBackoff = std::chrono::seconds(2);
   int resyncMaxDoublings = 3;
   // Pause after a resync that discovery did not answer.
   policy::Duration resyncRetryAfterFailure = std::chrono::seconds(1);
 
-  // From 0 to 1, different at each gateway: those that see the same failure must not act in the same moment.
+  // From 0 to 1, different for each gateway, so that gateways that observe the same failure do not all act at
+  // the same moment.
   double jitter = 0.5;
 };
 
--- a/tests/membership/endpoint_health_test.cpp
+++ b/tests/membership/endpoint_health_test.cpp
@@ -109,7 +109,7 @@
   EXPECT_EQ(reach[1], Reachability::reachable);
   // What takes connections where one was refused is a new process.
   EXPECT_GT(startedAfter[1], before);
-  EXPECT_EQ(condition(1), EndpointCondition::warmingUp);
+  EXPECT_EQ(condition(1), EndpointCondition::slowStart);
   passTime(9s);
   EXPECT_EQ(condition(1), EndpointCondition::serving);
 }
@@ -325,7 +325,7 @@
   for (EndpointId endpoint = 0; endpoint < 10; ++endpoint)
     EXPECT_EQ(condition(endpoint), EndpointCondition::removed);
   for (EndpointId endpoint = 10; endpoint < 20; ++endpoint) {
-    EXPECT_EQ(condition(endpoint), EndpointCondition::warmingUp);
+    EXPECT_EQ(condition(endpoint), EndpointCondition::slowStart);
     EXPECT_EQ(reach.count(endpoint), 0u);
   }
   passTime(2s);
@@ -358,7 +358,7 @@
   refused(1);
   update(0, EndpointState::active, now);
   EXPECT_EQ(reach[0], Reachability::reachable);
-  EXPECT_EQ(condition(0), EndpointCondition::warmingUp);
+  EXPECT_EQ(condition(0), EndpointCondition::slowStart);
   health->onAddressChanged(now, 1);
   collectChanges();
   EXPECT_EQ(reach[1], Reachability::reachable);
@@ -373,7 +373,7 @@
   health->forget(1);
   EXPECT_EQ(condition(1), EndpointCondition::removed);
   update(1, EndpointState::active, now);  // the number is given out anew
-  EXPECT_EQ(condition(1), EndpointCondition::warmingUp);
+  EXPECT_EQ(condition(1), EndpointCondition::slowStart);
   probes.clear();
   passTime(2s);
   EXPECT_EQ(probes[1], 0);
--- a/tests/membership/endpoint_record_test.cpp
+++ b/tests/membership/endpoint_record_test.cpp
@@ -74,7 +74,7 @@
   record.responses.timedOutAt = kNow - 3s;
   expect(EndpointCondition::suspect, ConditionReason::overloaded);
   record.responses.rejections = 0;
-  expect(EndpointCondition::warmingUp, ConditionReason::justStarted);
+  expect(EndpointCondition::slowStart, ConditionReason::justStarted);
   record.list.startedAt = kNow - 9s;
   expect(EndpointCondition::serving, ConditionReason::listed);
 }
@@ -82,7 +82,7 @@
 TEST_F(EndpointRecordTest, AStartThatWasSeenBeginsSlowStartToo) {
   record.list.startedAt = kNow - 1h;
   record.reachability.startedAfter = kNow - 1s;
-  expect(EndpointCondition::warmingUp, ConditionReason::justStarted);
+  expect(EndpointCondition::slowStart, ConditionReason::justStarted);
 }
 
 TEST_F(EndpointRecordTest, RejectionsOverloadItByNumberAndTime) {
@@ -125,7 +125,7 @@
 // Operators read these words in logs and on docs/operators/membership.md.
 TEST(EndpointStatusTest, NamesAreThoseOfTheOperatorsPage) {
   const std::vector<std::pair<EndpointCondition, const char*>> conditions = {
-      {EndpointCondition::serving, "serving"},   {EndpointCondition::warmingUp, "cold"},
+      {EndpointCondition::serving, "serving"},   {EndpointCondition::slowStart, "cold"},
       {EndpointCondition::suspect, "suspect"},   {EndpointCondition::unreachable, "unreachable"},
       {EndpointCondition::draining, "draining"}, {EndpointCondition::removed, "gone"}};
   for (const auto& [condition, name] : conditions) EXPECT_EQ(nameOf(condition), name);
--- a/tests/membership/list_staleness_test.cpp
+++ b/tests/membership/list_staleness_test.cpp
@@ -30,16 +30,16 @@
 };
 
 TEST(ListContradictionsTest, OneUnreachableEndpointContradictsTheList) {
-  EXPECT_FALSE((ListContradictions{4, 0, 0}.any()));
-  EXPECT_TRUE((ListContradictions{4, 1, 0}.any()));
-  EXPECT_TRUE((ListContradictions{4, 1, 3}.any()));
+  EXPECT_FALSE((ListContradictions{4, 0, 0}.listMayBeStale()));
+  EXPECT_TRUE((ListContradictions{4, 1, 0}.listMayBeStale()));
+  EXPECT_TRUE((ListContradictions{4, 1, 3}.listMayBeStale()));
 }
 
 TEST(ListContradictionsTest, OverloadedEndpointsContradictItUnlessMostAre) {
-  EXPECT_TRUE((ListContradictions{4, 0, 1}.any()));
-  EXPECT_TRUE((ListContradictions{4, 0, 2}.any()));
-  EXPECT_FALSE((ListContradictions{4, 0, 3}.any()));
-  EXPECT_FALSE((ListContradictions{1, 0, 1}.any()));
+  EXPECT_TRUE((ListContradictions{4, 0, 1}.listMayBeStale()));
+  EXPECT_TRUE((ListContradictions{4, 0, 2}.listMayBeStale()));
+  EXPECT_FALSE((ListContradictions{4, 0, 3}.listMayBeStale()));
+  EXPECT_FALSE((ListContradictions{1, 0, 1}.listMayBeStale()));
 }
 
 TEST_F(ListStalenessTest, NothingIsRequestedWithoutAContradiction) {
@@ -54,7 +54,7 @@
 // next one is the first again.
 TEST_F(ListStalenessTest, ChangesOfTheListBeginTheSpacingAnew) {
   EXPECT_EQ(requests(3s, kOneUnreachable), (std::vector<policy::Duration>{0s, 2s}));
-  staleness.onChanges();
+  staleness.onListChanged();
   EXPECT_EQ(requests(6s, kOneUnreachable), (std::vector<policy::Duration>{3s, 5s}));
 }
 
--- a/tests/membership/probe_scheduler_test.cpp
+++ b/tests/membership/probe_scheduler_test.cpp
@@ -16,7 +16,7 @@
 
 int takeAll(ProbeRateLimiter& limiter) {
   int taken = 0;
-  for (; limiter.available(); ++taken) limiter.take();
+  for (; limiter.hasToken(); ++taken) limiter.takeToken();
   return taken;
 }
 
