--- a/src/core/active_call.hpp
+++ b/src/core/active_call.hpp
@@ -1,4 +1,5 @@
-// The state of a call between its acceptance and the end of its last attempt.
+// The state that the engine keeps of a call from its acceptance until it has a reply and no attempt is in
+// flight any more.
 #pragma once
 
 #include <cstdint>
@@ -11,20 +12,21 @@
 namespace cairnjunction {
 
 struct ActiveCall {
-  Call call;                        // does not change after acceptance: upstreams hold a reference to it
-  ReplySink* sink = nullptr;        // never null; called at most once
-  std::uint64_t frontendToken = 0;  // handed back to the sink
-  policy::Timestamp deadline{};     // no attempt begins at or after it
-  // Attempts whose end is not handled yet: at most one that was passed to the upstream, and denied ones whose
-  // Outcome::notSent is still in Engine::endedAttempts_.
+  Call call;                        // constant after acceptance, since upstreams hold a reference to it
+  ReplySink* sink = nullptr;        // never null while the call is open; called at most once
+  std::uint64_t frontendToken = 0;  // passed back to the sink with the reply
+  policy::Timestamp deadline{};     // no attempt starts at or after this time
+  // Attempts whose end has not been handled yet: at most one that was passed to the upstream, and denied ones
+  // whose Outcome::notSent is still in Engine::endedAttempts_.
   std::uint32_t attemptsInFlight = 0;
-  std::uint32_t latestAttempt = 0;             // number of the last one that an upstream was given
-  policy::Timestamp latestAttemptStartedAt{};  // when that was
-  // Start of the first attempt that may have been executed; empty: none may have been. Set once.
+  std::uint32_t latestAttempt = 0;             // number of the last attempt that was passed to the upstream
+  policy::Timestamp latestAttemptStartedAt{};  // start of that attempt
+  // Start of the first attempt that may have been executed; empty if there is none. Set once.
   std::optional<policy::Timestamp> mayHaveExecutedAt;
-  bool settled =
-      false;  // replied to, or its client has disconnected; never reset, and no attempt begins then
-  // The answer is being passed on: the call is settled, but not counted, and its name stays in use.
+  // The call was replied to, or its client has disconnected. Never reset; no attempt starts afterwards.
+  bool settled = false;
+  // The answer is being streamed to the client: the call is settled, but its reply is not counted yet and its
+  // external id stays in use.
   bool streaming = false;
 };
 
--- a/src/core/attempt.hpp
+++ b/src/core/attempt.hpp
@@ -1,4 +1,5 @@
-// An attempt: one sending of a call to one endpoint. What names it, bounds it and tells how it ended.
+// An attempt sends a call to one endpoint, once. This file has the key, the timeouts and the outcome of an
+// attempt.
 #pragma once
 
 #include <cstddef>
@@ -23,12 +24,13 @@
   }
 };
 
-// How long an attempt may take, counted from its start.
+// Timeouts of an attempt, counted from its start.
 struct AttemptTimeouts {
   AttemptTimeouts(policy::Duration responseWithin, policy::Duration writeWithin = policy::Duration::max())
       : response(responseWithin), write(writeWithin) {}
-  policy::Duration response;  // above 0; the attempt ends with Outcome::timeout then
-  // What is not written to its last byte by then is never written, and has not been executed.
+  policy::Duration response;  // above 0; the attempt then ends with Outcome::timeout
+  // A request whose last byte is not written within this time is never completed, so it is not executed.
+  // Duration::max(): no limit.
   policy::Duration write;
 };
 
@@ -36,15 +38,16 @@
   AttemptKey key;
   policy::EndpointId endpoint = policy::kNone;
   policy::Outcome outcome = policy::Outcome::reset;
-  policy::Duration elapsed{};  // since the attempt's start
+  policy::Duration elapsed{};  // from the start of the attempt to its end
   Message response;            // with Outcome::served
   policy::FailureReason failureReason = policy::FailureReason::unknown;
   policy::ConnectionUse connectionUse = policy::ConnectionUse::unknown;
-  bool connectionKept = false;  // the connection stays open
+  bool connectionKept = false;  // the connection stays open for further attempts
 };
 
-// Called when an answer begins that is passed on while it comes: `response.rest` brings the rest of its body.
-// The attempt ends later, as every attempt does. Only for calls with Call::acceptsStreaming.
+// Called when the head of a streamed answer has arrived; `response.rest` delivers the rest of its body. The
+// end of the attempt is reported separately, as for every attempt. Only for calls with
+// Call::acceptsStreaming.
 using ResponseStarted = std::function<void(AttemptOutcome)>;
 
 }  // namespace cairnjunction
--- a/src/core/body_stream.hpp
+++ b/src/core/body_stream.hpp
@@ -1,6 +1,6 @@
-// The rest of a body on its way from a producer that reads it to a consumer that writes it, both on one event
-// loop. It holds a bounded part: a producer that finds no room stops reading until onRoom is called.
-// Knows no protocol and no socket.
+// Buffers the rest of a message body between a producer that reads it and a consumer that writes it, both on
+// the same event loop. The buffer is bounded: a producer that finds no free capacity stops reading until
+// onRoom is called. Independent of protocols and sockets.
 #pragma once
 
 #include <cstddef>
@@ -14,39 +14,43 @@
 class BodyStream {
  public:
   enum class State {
-    flowing,  // more may come
-    whole,    // the producer has put all of it
-    broken    // the rest will never come
+    flowing,  // more bytes may follow
+    whole,    // the producer has put the last byte
+    broken    // the body is incomplete and no more bytes follow
   };
 
-  // `capacity`: bytes that it holds before the producer is to pause.
+  // `capacity`: number of buffered bytes at which the producer has to pause.
   explicit BodyStream(std::size_t capacity) : capacity_(capacity) {}
   BodyStream(const BodyStream&) = delete;
   BodyStream& operator=(const BodyStream&) = delete;
 
-  // --- The producer's side.
+  // --- For the producer.
+
+  // Free capacity in bytes.
   std::size_t room() const { return data_.size() >= capacity_ ? 0 : capacity_ - data_.size(); }
-  // Dropped once the consumer has left. May go past the capacity by what one read brought.
+  // Appends bytes; drops them if the consumer has left. The bytes of one read may exceed the capacity.
   void put(std::string_view bytes) {
     if (left_ || bytes.empty()) return;
     data_.append(bytes);
     notify(onChange);
   }
+  // Both end the stream; the first call counts, later ones are ignored.
   void finish() { end(State::whole); }
   void fail() { end(State::broken); }
-  bool left() const { return left_; }  // the consumer has left
-  std::function<void()> onRoom;        // called when the consumer has taken bytes
-  std::function<void()> onLeft;        // called once, when the consumer has left
+  bool left() const { return left_; }  // whether the consumer has left
+  std::function<void()> onRoom;        // called when the consumer has taken bytes; not after the end
+  std::function<void()> onLeft;        // called once, when the consumer leaves before the end
+
+  // --- For the consumer.
 
-  // --- The consumer's side.
-  // All bytes that are here.
+  // Removes and returns all buffered bytes.
   std::string take() {
     std::string bytes = std::exchange(data_, {});
     if (!bytes.empty()) notify(onRoom);
     return bytes;
   }
   State state() const { return state_; }
-  // Nothing more is wanted: what comes is dropped.
+  // The consumer wants no more bytes: drops those that are buffered and all that follow.
   void leave() {
     if (std::exchange(left_, true)) return;
     onChange = nullptr;
@@ -64,15 +68,15 @@
     onLeft = nullptr;
     notify(onChange);
   }
-  // By a copy, since what is called may replace or drop the function.
+  // Calls a copy, since the callback may replace or reset the function.
   static void notify(const std::function<void()>& function) {
     if (const auto copy = function; copy) copy();
   }
 
-  std::string data_;              // put and not taken
+  std::string data_;              // bytes that were put and not taken yet
   const std::size_t capacity_;    // bytes
-  State state_ = State::flowing;  // changes once at most
-  bool left_ = false;             // never reset; nothing is held then
+  State state_ = State::flowing;  // changes at most once
+  bool left_ = false;             // never reset; data_ is empty then
 };
 
 }  // namespace cairnjunction
--- a/src/core/call.hpp
+++ b/src/core/call.hpp
@@ -1,4 +1,4 @@
-// A call: what a client asks for, as a frontend hands it to the engine.
+// A call: a client's request, as a frontend passes it to the engine.
 #pragma once
 
 #include <cstdint>
@@ -9,14 +9,14 @@
 
 namespace cairnjunction {
 
-using CallId = policy::RequestId;  // given out by the engine, and never twice
+using CallId = policy::RequestId;  // assigned by the engine, never reused
 
 struct Call {
-  std::string externalId;      // the name that workers see; no two open calls have the same
-  std::string idempotencyKey;  // by which workers drop repeats; empty: none
+  std::string externalId;      // the id that workers see; unique among open calls
+  std::string idempotencyKey;  // by which workers recognize and drop repeats; empty: none
   policy::Request attributes;  // input of the load balancer; its `id` is set by the engine
   Message message;
-  bool acceptsStreaming = false;  // its frontend can pass on an answer with Message::rest
+  bool acceptsStreaming = false;  // the frontend can stream an answer with Message::rest to the client
 };
 
 }  // namespace cairnjunction
--- a/src/core/call_table.cpp
+++ b/src/core/call_table.cpp
@@ -11,7 +11,7 @@
   added.sink = &sink;
   added.frontendToken = frontendToken;
   added.deadline = deadline;
-  names_.insert(added.call.externalId);
+  externalIds_.insert(added.call.externalId);
   ++awaitingReply_;
   return added;
 }
@@ -22,31 +22,31 @@
 }
 
 void CallTable::removeFinished() {
-  for (const CallId id : toCheck_) {
+  for (const CallId id : possiblyFinished_) {
     const auto found = calls_.find(id);
     if (found == calls_.end()) continue;
     const ActiveCall& call = found->second;
     if (!call.settled || call.attemptsInFlight > 0 || call.streaming) continue;
-    names_.erase(call.call.externalId);
+    externalIds_.erase(call.call.externalId);
     calls_.erase(found);
   }
-  toCheck_.clear();
+  possiblyFinished_.clear();
 }
 
-std::vector<CallId> CallTable::unsettledPast(policy::Timestamp time) const {
+std::vector<CallId> CallTable::unsettledWithDeadlineAfter(policy::Timestamp time) const {
   std::vector<CallId> ids;
   for (const auto& [id, call] : calls_)
     if (!call.settled && call.deadline > time) ids.push_back(id);
   return ids;
 }
 
-std::vector<bool> CallTable::heldClasses(std::size_t count) const {
-  std::vector<bool> held(count, false);
+std::vector<bool> CallTable::classesInUse(std::size_t count) const {
+  std::vector<bool> inUse(count, false);
   for (const auto& [id, call] : calls_) {
     const std::uint32_t index = call.call.attributes.classIndex;
-    if (index < count) held[index] = true;
+    if (index < count) inUse[index] = true;
   }
-  return held;
+  return inUse;
 }
 
 }  // namespace cairnjunction
--- a/src/core/call_table.hpp
+++ b/src/core/call_table.hpp
@@ -1,4 +1,4 @@
-// The open calls: their ids, the names that are in use, and how many still wait for a reply. No I/O.
+// The table of open calls, with the external ids in use and the number of calls that await a reply. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -16,34 +16,36 @@
 
 class CallTable {
  public:
-  CallId nextId() { return ++lastId_; }  // never the same twice
-  bool isNameInUse(std::string_view externalId) const { return names_.contains(externalId); }
-  // Adds a call under a new id, whose name must not be in use. The reference is valid until the call is
-  // removed.
+  CallId nextId() { return ++lastId_; }  // returns a new id at each call
+  bool isExternalIdInUse(std::string_view externalId) const { return externalIds_.contains(externalId); }
+  // Adds a call; `id` must come from nextId(), and the call's external id must not be in use. The returned
+  // reference is valid until the call is removed.
   ActiveCall& add(CallId id, Call call, ReplySink& sink, std::uint64_t frontendToken,
                   policy::Timestamp deadline);
   ActiveCall* find(CallId id);  // null: unknown or removed
 
-  // The call's reply is complete, or will not come since its client has left. Once for each call.
+  // One call fewer awaits its reply: the reply is complete, or the client has disconnected. To be called once
+  // for each call.
   void stopAwaitingReply() { --awaitingReply_; }
-  // Remembers a call that may have come to its end, for removeFinished().
-  void checkLater(CallId id) { toCheck_.push_back(id); }
-  // Removes those of the remembered calls that are settled and have neither an attempt in flight nor an
-  // answer that is being passed on.
+  // Marks a call that may be finished, for the next removeFinished().
+  void markPossiblyFinished(CallId id) { possiblyFinished_.push_back(id); }
+  // Removes those of the marked calls that are settled, have no attempt in flight and are not streaming an
+  // answer. Clears all marks.
   void removeFinished();
 
   std::size_t size() const { return calls_.size(); }
+  // Calls that are neither replied to in full nor abandoned by their client.
   std::size_t awaitingReply() const { return awaitingReply_; }
   // Calls that are not settled and whose deadline is after `time`.
-  std::vector<CallId> unsettledPast(policy::Timestamp time) const;
-  // For each class index below `count`, whether an open call holds it.
-  std::vector<bool> heldClasses(std::size_t count) const;
+  std::vector<CallId> unsettledWithDeadlineAfter(policy::Timestamp time) const;
+  // For each class index below `count`, whether an open call uses it.
+  std::vector<bool> classesInUse(std::size_t count) const;
 
  private:
-  std::unordered_map<CallId, ActiveCall> calls_;  // references to its values stay valid when others come
-  std::unordered_set<std::string_view> names_;    // one for each call, which holds the text
-  std::vector<CallId> toCheck_;                   // may name a call twice, or one that is removed
-  std::size_t awaitingReply_ = 0;                 // neither replied to in full nor left by its client
+  std::unordered_map<CallId, ActiveCall> calls_;      // references to its values stay valid on insertion
+  std::unordered_set<std::string_view> externalIds_;  // one for each call; they refer to the text in calls_
+  std::vector<CallId> possiblyFinished_;              // may contain duplicates and removed calls
+  std::size_t awaitingReply_ = 0;
   CallId lastId_ = 0;
 };
 
--- a/src/core/class_table.cpp
+++ b/src/core/class_table.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// All that makes a class what it is: two with equal definitions are one.
+// All fields that define a class: two classes with equal definitions are the same class.
 auto definitionOf(const ClassSettings& settings) {
   return std::tie(settings.name, settings.latencyObjective, settings.clientTimeout, settings.dedupWindow,
                   settings.idempotency, settings.dedupScope, settings.priorityWeight,
@@ -24,8 +24,8 @@
     current_.emplace(byIndex_[i].name, static_cast<std::uint32_t>(i));
 }
 
-std::optional<ClassTable> ClassTable::with(const std::vector<ClassSettings>& classes,
-                                           const std::function<bool(std::uint32_t)>& isHeld) const {
+std::optional<ClassTable> ClassTable::withClasses(const std::vector<ClassSettings>& classes,
+                                                  const std::function<bool(std::uint32_t)>& isInUse) const {
   ClassTable next({});
   next.byIndex_ = byIndex_;
   std::vector<bool> unchanged(byIndex_.size(), false);
@@ -41,7 +41,7 @@
   }
   std::uint32_t index = 0;
   for (const ClassSettings* settings : changed) {
-    while (index < unchanged.size() && (unchanged[index] || isHeld(index))) ++index;
+    while (index < unchanged.size() && (unchanged[index] || isInUse(index))) ++index;
     if (index >= kMaxClasses) return std::nullopt;
     if (index == next.byIndex_.size()) next.byIndex_.push_back(*settings);
     else next.byIndex_[index] = *settings;
--- a/src/core/class_table.hpp
+++ b/src/core/class_table.hpp
@@ -1,6 +1,6 @@
-// Classes by index, through changes of the settings. An index means one definition for as long as a call
-// holds it: a class that changes gets another one, and an index that no class and no call has is given out
-// again. No I/O.
+// Request classes by index, across changes of the settings. An index keeps its definition as long as an open
+// call uses it: a class whose definition changes gets another index. An index that neither a current class
+// nor an open call uses is reused. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -15,32 +15,32 @@
 
 namespace cairnjunction {
 
-using ClassIndexes = std::unordered_map<std::string, std::uint32_t>;  // by name
+using ClassIndexes = std::unordered_map<std::string, std::uint32_t>;  // class index by class name
 
 class ClassTable {
  public:
-  // Far more than any deployment has. Bounded since each endpoint keeps a figure for each index.
+  // Far more than any deployment uses. Bounded since each endpoint stores a value for each index.
   static constexpr std::size_t kMaxClasses = 256;
 
-  // The names must differ.
+  // The names of the classes must differ.
   explicit ClassTable(std::vector<policy::ClassSettings> classes);
 
-  // What the table would be with these classes, whose names must differ. `isHeld` tells whether a call holds
-  // an index. Empty if there are more than kMaxClasses with those that are held.
-  std::optional<ClassTable> with(const std::vector<policy::ClassSettings>& classes,
-                                 const std::function<bool(std::uint32_t)>& isHeld) const;
+  // Returns the table for new settings with `classes`, whose names must differ. `isInUse` returns whether an
+  // open call uses an index. Empty if the new classes and the indexes in use exceed kMaxClasses.
+  std::optional<ClassTable> withClasses(const std::vector<policy::ClassSettings>& classes,
+                                        const std::function<bool(std::uint32_t)>& isInUse) const;
 
-  // Also those of former settings, whose index is not given out again yet.
+  // Includes classes of former settings whose index has not been reused yet.
   const std::vector<policy::ClassSettings>& byIndex() const { return byIndex_; }
-  // The class of an index; null if there is none.
+  // The class with the index; null if there is none.
   const policy::ClassSettings* find(std::uint32_t index) const {
     return index < byIndex_.size() ? &byIndex_[index] : nullptr;
   }
-  const ClassIndexes& current() const { return current_; }  // the classes of the present settings
+  const ClassIndexes& current() const { return current_; }  // the classes of the current settings
 
  private:
   std::vector<policy::ClassSettings> byIndex_;  // never shrinks
-  ClassIndexes current_;                        // each index is one of byIndex_
+  ClassIndexes current_;                        // the values are indexes into byIndex_
 };
 
 }  // namespace cairnjunction
--- a/src/core/engine.cpp
+++ b/src/core/engine.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// In seconds with one decimal, cut off.
+// The duration in seconds with one decimal, truncated.
 std::string secondsText(Duration duration) {
   const auto tenths = std::chrono::duration_cast<std::chrono::milliseconds>(duration).count() / 100;
   return std::to_string(tenths / 10) + "." + std::to_string(tenths % 10);
@@ -25,7 +25,7 @@
 EndpointHealth::Settings endpointHealthSettings(const policy::Settings& settings) {
   EndpointHealth::Settings health;
   health.slowStartDuration = settings.slowStartDuration;
-  // Gateways that see one failure poll discovery one after the other.
+  // Distinct values spread the polls of gateways that observe the same failure.
   health.jitter = (settings.gatewayIndex + 0.5) / settings.gatewayCount;
   return health;
 }
@@ -45,7 +45,7 @@
 // --- Events of frontends --------------------------------------------------------------------------------
 
 Engine::AcceptResult Engine::accept(Call call, ReplySink& sink, std::uint64_t frontendToken, CallId* id) {
-  if (calls_.isNameInUse(call.externalId)) return AcceptResult::idInUse;
+  if (calls_.isExternalIdInUse(call.externalId)) return AcceptResult::idInUse;
   const Timestamp now = runtime_.now();
   const CallId newId = calls_.nextId();
   if (id != nullptr) *id = newId;
@@ -56,7 +56,7 @@
   const ActiveCall& added = calls_.add(newId, std::move(call), sink, frontendToken, deadline);
   reportReachability();
   balancer_.onRequest(now, added.call.attributes);
-  carryOutActions();
+  executeActions();
   return AcceptResult::accepted;
 }
 
@@ -65,26 +65,26 @@
   if (call == nullptr || call->settled) return;
   call->settled = true;
   calls_.stopAwaitingReply();
-  calls_.checkLater(id);
+  calls_.markPossiblyFinished(id);
   cancelAttempts(id);
 }
 
 void Engine::failCallsPast(Timestamp kill) {
-  for (const CallId id : calls_.unsettledPast(kill)) {
+  for (const CallId id : calls_.unsettledWithDeadlineAfter(kill)) {
     ActiveCall* const call = calls_.find(id);
-    if (call == nullptr || call->settled) continue;  // by what the replies before it have led to
+    if (call == nullptr || call->settled) continue;  // settled as a consequence of an earlier reply
     const bool neverExecuted = call->attemptsInFlight == 0 && !call->mayHaveExecutedAt;
     reply(id, *call, {neverExecuted ? ReplyStatus::rejected : ReplyStatus::failed, {}, {}});
     cancelAttempts(id);
   }
 }
 
-// Nobody waits for the call any more.
+// No client waits for the call any more: cancels its attempts as far as the settings allow.
 void Engine::cancelAttempts(CallId id) {
   balancer_.onClientDisconnected(runtime_.now(), id);
-  carryOutActions();
-  // Where the settings rule out cancelling, the load balancer lets the attempt go on. One that still waits
-  // for its connection would then be written to its endpoint for nobody, perhaps seconds later.
+  executeActions();
+  // If the settings do not allow cancelling, the load balancer lets the attempt continue. An attempt that
+  // still waits for its connection would then be sent to its endpoint uselessly, possibly seconds later.
   const ActiveCall* const call = calls_.find(id);
   if (call != nullptr && call->attemptsInFlight > 0) upstream_.cancelIfUnsent({id, call->latestAttempt});
 }
@@ -93,7 +93,7 @@
 
 void Engine::attemptEnded(AttemptOutcome outcome) {
   endedAttempts_.push_back(std::move(outcome));
-  carryOutActions();
+  executeActions();
 }
 
 void Engine::responseStarted(AttemptOutcome outcome) {
@@ -105,9 +105,9 @@
   --call->attemptsInFlight;
   call->streaming = true;
   reply(outcome.key.call, *call, {ReplyStatus::ok, std::move(outcome.response), {}});
-  // The call may be gone by now, if its client has left from within.
+  // `call` may be dangling by now: its client may have disconnected during the reply.
   reportToLoadBalancer(outcome, true);
-  carryOutActions();
+  executeActions();
 }
 
 void Engine::connectionsChanged(policy::EndpointId endpoint, EndpointConnections connections) {
@@ -120,7 +120,7 @@
   ActiveCall* const call = calls_.find(id);
   if (call == nullptr) return;
   if (std::exchange(call->streaming, false)) {
-    calls_.checkLater(id);
+    calls_.markPossiblyFinished(id);
     countReply(*call, outcome.outcome == Outcome::served ? ReplyStatus::ok : ReplyStatus::failed);
     return;
   }
@@ -128,7 +128,7 @@
   --call->attemptsInFlight;
   if (mayHaveExecuted(outcome.outcome) && !call->mayHaveExecutedAt)
     call->mayHaveExecutedAt = call->latestAttemptStartedAt;
-  calls_.checkLater(id);
+  calls_.markPossiblyFinished(id);
   if (outcome.outcome == Outcome::served && !call->settled)
     reply(id, *call, {ReplyStatus::ok, std::move(outcome.response), {}});
   reportToLoadBalancer(outcome, call->settled);
@@ -146,8 +146,8 @@
   result.connectionKept = outcome.connectionKept;
   result.endsRequest = callSettled;
   const Timestamp now = runtime_.now();
-  // The endpoint health first: the load balancer may decide on a retry at once, and an endpoint that refused
-  // the connection is unreachable by then.
+  // The endpoint health is updated first, since the load balancer may decide on a retry at once: an endpoint
+  // that refused the connection must be unreachable by then.
   endpointHealth_.onAttemptEnded(now, result);
   reportReachability();
   balancer_.onResult(now, result);
@@ -156,23 +156,24 @@
 // --- Events of discovery and of time --------------------------------------------------------------------
 
 void Engine::updateEndpoints(policy::EndpointListKind kind, const std::vector<policy::EndpointInfo>& entries,
-                             const std::function<void()>& before) {
+                             const std::function<void()>& beforeActions) {
   balancer_.onEndpoints(runtime_.now(), kind, entries);
   std::vector<EndpointHealth::ListedEndpoint> listed;
   listed.reserve(entries.size());
   for (const policy::EndpointInfo& entry : entries)
     listed.push_back({balancer_.findEndpoint(entry.address), entry.state, entry.startedAt});
   endpointHealth_.onList(runtime_.now(), kind, listed);
-  if (before) before();
+  if (beforeActions) beforeActions();
   reportReachability();
-  carryOutActions();
+  executeActions();
 }
 
 void Engine::endpointAddressChanged(policy::EndpointId endpoint) {
   endpointHealth_.onAddressChanged(runtime_.now(), endpoint);
 }
 
-// The load balancer wakes at least ten times a second, which is as often as the endpoint health needs.
+// The load balancer requests a wake-up at least ten times a second, which is often enough for the endpoint
+// health.
 void Engine::wake() {
   nextWakeAt_.reset();
   const Timestamp now = runtime_.now();
@@ -186,7 +187,7 @@
   }
   reportReachability();
   balancer_.onWake(now);
-  carryOutActions();
+  executeActions();
 }
 
 void Engine::reportReachability() {
@@ -204,15 +205,15 @@
 
 // --- Settings and counts --------------------------------------------------------------------------------
 
-std::optional<ClassTable> Engine::classesAfter(const policy::Settings& settings) const {
-  if (!replyCounters_.hasRoomFor(settings.classes.size())) return std::nullopt;
-  const std::vector<bool> held = calls_.heldClasses(classes_.byIndex().size());
-  return classes_.with(settings.classes,
-                       [&](std::uint32_t index) { return index < held.size() && held[index]; });
+std::optional<ClassTable> Engine::classTableFor(const policy::Settings& settings) const {
+  if (!replyCounters_.hasCapacityFor(settings.classes.size())) return std::nullopt;
+  const std::vector<bool> inUse = calls_.classesInUse(classes_.byIndex().size());
+  return classes_.withClasses(settings.classes,
+                              [&](std::uint32_t index) { return index < inUse.size() && inUse[index]; });
 }
 
 bool Engine::configure(policy::Settings settings) {
-  std::optional<ClassTable> next = classesAfter(settings);
+  std::optional<ClassTable> next = classTableFor(settings);
   if (!next) return false;
   settings.classes = next->byIndex();
   const Duration slowStartDuration = settings.slowStartDuration;
@@ -220,7 +221,7 @@
   endpointHealth_.setSlowStartDuration(slowStartDuration);
   classes_ = std::move(*next);
   replyCounters_.setClasses(classes_.byIndex());
-  carryOutActions();
+  executeActions();
   return true;
 }
 
@@ -236,30 +237,30 @@
 
 // --- Actions --------------------------------------------------------------------------------------------
 
-// Carries out all actions in their order, with those that their own results raise. An action that ends an
-// attempt at once must not reach the load balancer while earlier actions are still to be carried out.
-void Engine::carryOutActions() {
-  if (carryingOut_) return;
-  carryingOut_ = true;
+// Executes all actions in their order, including those that result from them. If an action ends an attempt at
+// once, the end must not reach the load balancer before all earlier actions are executed.
+void Engine::executeActions() {
+  if (executing_) return;
+  executing_ = true;
   for (;;) {
     actions_.clear();
     actions_.swap(balancer_.actions());
-    for (const Action& action : actions_) carryOut(action);
+    for (const Action& action : actions_) execute(action);
     if (!balancer_.actions().empty()) continue;
-    calls_.removeFinished();  // only now, when no action names them any more
+    calls_.removeFinished();  // only now, when no pending action refers to them
     if (endedAttempts_.empty()) break;
     AttemptOutcome outcome = std::move(endedAttempts_.front());
     endedAttempts_.pop_front();
     finishAttempt(std::move(outcome));
   }
-  carryingOut_ = false;
+  executing_ = false;
 }
 
-void Engine::carryOut(const Action& action) {
+void Engine::execute(const Action& action) {
   switch (action.kind) {
     case ActionKind::send: return startAttempt(action);
     case ActionKind::reject:
-    case ActionKind::fail: return replyWithoutAnswer(action);
+    case ActionKind::fail: return rejectOrFail(action);
     case ActionKind::cancel: return upstream_.cancel({action.request, action.attempt});
     case ActionKind::closeIdle: return upstream_.closeIdle(action.endpoint);
     case ActionKind::forgetEndpoint:
@@ -283,7 +284,7 @@
   ActiveCall* const call = calls_.find(action.request);
   if (call == nullptr) return;
   const AttemptKey key{action.request, action.attempt};
-  // Also of an attempt that is denied, which may be the probe that the endpoint health has allowed.
+  // Also for an attempt that is denied below: it may be the probe that the endpoint health has offered.
   endpointHealth_.onAttemptStarted(action.endpoint, key.call, key.attempt);
   const Timestamp now = runtime_.now();
   const AttemptDecision decision = decideAttempt(*call, classes_.find(call->call.attributes.classIndex), now);
@@ -299,7 +300,7 @@
   upstream_.start(key, action.endpoint, call->call, {responseWithin, decision.writeWithin});
 }
 
-void Engine::replyWithoutAnswer(const Action& action) {
+void Engine::rejectOrFail(const Action& action) {
   ActiveCall* const call = calls_.find(action.request);
   if (call == nullptr || call->settled) return;
   if (action.kind == ActionKind::reject)
@@ -310,7 +311,7 @@
 void Engine::reply(CallId id, ActiveCall& call, Reply reply) {
   call.settled = true;
   if (!call.streaming) countReply(call, reply.status);
-  calls_.checkLater(id);
+  calls_.markPossiblyFinished(id);
   call.sink->onReply(call.frontendToken, std::move(reply));
 }
 
--- a/src/core/engine.hpp
+++ b/src/core/engine.hpp
@@ -1,19 +1,20 @@
-// The engine: open calls, their attempts and the one final answer. It passes events between the load
-// balancer, the endpoint health, the upstream and the frontends, and carries out what the load balancer
-// decides. It knows no protocol, does no I/O and reads no clock but the one that it is given.
+// The engine manages open calls, their attempts and their final replies. It passes events between the load
+// balancer, the endpoint health, the upstream and the frontends, and executes the actions of the load
+// balancer. It is independent of protocols, does no I/O, and reads no clock except Runtime::now.
 //
-// Order of events. Each event is applied to the endpoint health first, then the changes of reachability that
-// follow from it are passed to the load balancer, then the event itself: so the load balancer never picks an
-// endpoint on older knowledge than the engine has. After that the actions of the load balancer are carried
-// out in their order; only when all of them are done, finished calls are removed and the next attempt that
-// ended meanwhile is handled. An event that is raised while actions are carried out is queued, never nested.
+// Order of events. Each event is applied to the endpoint health first; the resulting changes of reachability
+// are passed to the load balancer, and then the event itself. So the load balancer never selects an endpoint
+// on older information than the engine has. Then the actions of the load balancer are executed in their
+// order. Only when all of them are done, finished calls are removed and the next attempt that ended in the
+// meantime is handled. An event that is raised while actions are executed is queued, never nested.
 //
-// Three rules are enforced here, whatever the load balancer, a frontend or an upstream does:
-//  - one final answer: an accepted call gets one reply, or none once its client has disconnected;
-//  - no attempts overlap: an attempt is started only when the one before it has ended, before the call's
+// The engine enforces three rules, whatever the load balancer, a frontend or an upstream does:
+//  - one final reply: an accepted call gets exactly one reply, or none after its client has disconnected;
+//  - no overlapping attempts: an attempt starts only after the previous one has ended, before the call's
 //    deadline and before the call has its reply;
-//  - no effect twice: once an attempt may have been executed, an unsafe call is not sent again, and a keyed
-//    one is written only within its dedup window, counted from the start of the first such attempt.
+//  - no repeated effect: once an attempt may have been executed, an unsafe call is not sent again, and a
+//  keyed
+//    call is written only within its dedup window, counted from the start of the first such attempt.
 #pragma once
 
 #include <cstddef>
@@ -44,41 +45,44 @@
  public:
   enum class AcceptResult {
     accepted,
-    idInUse  // an open call has this external id: workers would take the new one for a copy of it
+    idInUse  // an open call has this external id: workers would take the new call for a repeat of it
   };
 
   struct EndpointCounts {
-    std::size_t listed = 0;   // endpoints that the list names
-    std::size_t avoided = 0;  // those of them to which nothing is sent now
+    std::size_t listed = 0;   // endpoints that are active or draining in the list
+    std::size_t avoided = 0;  // of these, endpoints that currently receive no requests
   };
   using ReplyCounts = ReplyCounters::Counts;
 
   // `runtime` and `upstream` must outlive the engine. Throws std::invalid_argument on invalid settings.
   Engine(const policy::Settings& settings, Runtime& runtime, Upstream& upstream);
 
-  // Takes over a call. `call.attributes.timeRemaining` counts from now. With AcceptResult::accepted `sink`,
-  // which must outlive the call, is given the reply, perhaps before this returns; `id`, if given, is set
-  // before that.
+  // Accepts a call. `call.attributes.timeRemaining` counts from now. With AcceptResult::accepted the reply is
+  // passed to `sink`, which must outlive the call, possibly before this function returns; `*id`, if `id` is
+  // not null, is set to the call's id before that.
   AcceptResult accept(Call call, ReplySink& sink, std::uint64_t frontendToken, CallId* id = nullptr);
-  // No reply is wanted, and nothing that is not written yet is sent. Ignored for a call that is settled.
+  // The client has disconnected: the call gets no reply, and a request that is not completely written is not
+  // sent. Ignored for a settled call.
   void clientDisconnected(CallId id);
-  // From the upstream: an attempt has ended. Ignored if it is not in flight.
+  // From the upstream: an attempt has ended. Ignored if the attempt is not in flight.
   void attemptEnded(AttemptOutcome outcome);
-  // From the upstream: an answer begins that is passed on. The endpoint's work is done by then and the rest
-  // is a matter of the connections, so for the load balancer the attempt is over. attemptEnded follows.
+  // From the upstream: the first part of a streamed answer has arrived. The endpoint has done its work by
+  // then and only the transfer remains, so the load balancer treats the attempt as ended. attemptEnded
+  // follows when the transfer ends.
   void responseStarted(AttemptOutcome outcome);
-  // From the upstream, at every change. Not an event of its own, since it may come while the upstream goes
-  // through its endpoints: what follows from it is applied before the next decision.
+  // From the upstream, at every change of the number of connections. It may be called while the upstream
+  // iterates over its endpoints, so it executes no actions: its consequences are applied before the next
+  // decision.
   void connectionsChanged(policy::EndpointId endpoint, EndpointConnections connections);
-  // Discovery did not answer what Runtime::requestResync had asked for.
+  // Discovery did not answer the resync requested by Runtime::requestResync.
   void resyncFailed() { endpointHealth_.onResyncFailed(runtime_.now()); }
-  void endpointAddressChanged(policy::EndpointId endpoint);  // the list gave it another address
-  // From discovery. `before` runs once the load balancer knows the endpoints and before its actions are
-  // carried out: the upstream is to learn there which of them is where.
+  void endpointAddressChanged(policy::EndpointId endpoint);  // the endpoint has a new address in the list
+  // From discovery. `beforeActions` is called after the load balancer has received the endpoints and before
+  // its actions are executed; it has to pass the addresses of the endpoints to the upstream.
   void updateEndpoints(policy::EndpointListKind kind, const std::vector<policy::EndpointInfo>& entries,
-                       const std::function<void()>& before = nullptr);
-  void wake();  // at the time given to Runtime::wakeAt, or at any other
-  // From the fleet, for the endpoint health; what follows is applied before the next decision.
+                       const std::function<void()>& beforeActions = nullptr);
+  void wake();  // to be called at the time given to Runtime::wakeAt; calls at other times are harmless
+  // From the fleet, for the endpoint health; the consequences are applied before the next decision.
   void delegateProbing(policy::EndpointId endpoint, policy::Timestamp until) {
     endpointHealth_.delegateProbing(runtime_.now(), endpoint, until);
   }
@@ -86,34 +90,38 @@
     endpointHealth_.onRemoteProbeResult(runtime_.now(), endpoint, age);
   }
 
-  // New settings, whose classes go by classes() from now on. Open calls keep theirs. False, and nothing has
-  // changed, if there are more classes than the table or the counters have room for. Throws
-  // std::invalid_argument like the constructor.
+  // Applies new settings; classes() then gives the indexes of their classes. Open calls keep the classes that
+  // they were accepted with. Returns false and changes nothing if there are more classes than the table or
+  // the counters can hold. Throws std::invalid_argument like the constructor.
   bool configure(policy::Settings settings);
-  bool mayConfigure(const policy::Settings& settings) const { return classesAfter(settings).has_value(); }
+  // Whether the class table and the counters can hold the classes of `settings`; otherwise configure() would
+  // return false.
+  bool mayConfigure(const policy::Settings& settings) const { return classTableFor(settings).has_value(); }
   const ClassTable& classes() const { return classes_; }
   EndpointCounts endpointCounts() const;
   policy::Timestamp now() const { return runtime_.now(); }
   const EndpointHealth& endpointHealth() const { return endpointHealth_; }
   const policy::LoadBalancer& loadBalancer() const { return balancer_; }
   policy::EndpointId findEndpoint(std::string_view address) const { return balancer_.findEndpoint(address); }
-  // In a graceful shutdown: calls that are accepted from now on have their deadline by then.
+  // For a graceful shutdown: calls accepted from now on have their deadline within `left` from now.
   void limitTimeRemaining(policy::Duration left) { latestDeadline_ = now() + left; }
-  // Just before the process is killed: calls whose deadline is later get their final answer now, since nobody
-  // could give them one after that.
+  // To be called just before the process is killed at the time `kill`: calls whose deadline is later get
+  // their final reply now, since the process cannot reply to them afterwards.
   void failCallsPast(policy::Timestamp kill);
-  std::size_t activeCalls() const { return calls_.size(); }  // also settled ones with an attempt in flight
-  std::size_t awaitingReply() const { return calls_.awaitingReply(); }  // neither replied to nor left
-  // Replies since the start, for each name that a class has had.
+  // Calls that are not finished, including settled calls with an attempt in flight or a streaming answer.
+  std::size_t activeCalls() const { return calls_.size(); }
+  // Calls that are neither replied to in full nor abandoned by their client.
+  std::size_t awaitingReply() const { return calls_.awaitingReply(); }
+  // Replies since construction, for each name that a class has had.
   const std::vector<ReplyCounts>& replyCounts() const { return replyCounters_.counts(); }
-  // Actions of the load balancer that were denied since they would have broken a rule; 0 is expected.
+  // Number of actions of the load balancer that were denied because they violated a rule; expected to be 0.
   std::uint64_t violations() const { return violations_; }
 
  private:
-  void carryOutActions();
-  void carryOut(const policy::Action& action);
+  void executeActions();
+  void execute(const policy::Action& action);
   void startAttempt(const policy::Action& action);
-  void replyWithoutAnswer(const policy::Action& action);
+  void rejectOrFail(const policy::Action& action);
   void scheduleWake(policy::Timestamp at);
   void cancelAttempts(CallId id);
   void finishAttempt(AttemptOutcome outcome);
@@ -121,22 +129,23 @@
   void reportReachability();
   void reply(CallId id, ActiveCall& call, Reply reply);
   void countReply(const ActiveCall& call, ReplyStatus status);
-  // Empty if there are more classes than there is room for.
-  std::optional<ClassTable> classesAfter(const policy::Settings& settings) const;
+  // The class table for new settings; empty if there are more classes than the table or the counters can
+  // hold.
+  std::optional<ClassTable> classTableFor(const policy::Settings& settings) const;
 
   Runtime& runtime_;
   Upstream& upstream_;
   policy::LoadBalancer balancer_;
   EndpointHealth endpointHealth_;
-  ClassTable classes_;           // what the load balancer was configured with
-  ReplyCounters replyCounters_;  // its classes are those of classes_
-  RateLimitedLog endpointLog_;   // of the reachability of endpoints
+  ClassTable classes_;           // the classes that the load balancer is configured with
+  ReplyCounters replyCounters_;  // has the classes of classes_
+  RateLimitedLog endpointLog_;   // for changes of reachability and requested resyncs
   CallTable calls_;
-  std::deque<AttemptOutcome> endedAttempts_;     // not handled yet; empty when no actions are carried out
-  std::vector<policy::Action> actions_;          // being carried out; a member to keep its memory
-  bool carryingOut_ = false;                     // carryOutActions() is at work further up the stack
-  std::optional<policy::Timestamp> nextWakeAt_;  // the earliest time asked for since the last wake()
-  policy::Timestamp latestDeadline_ = policy::Timestamp::max();  // of calls that are accepted
+  std::deque<AttemptOutcome> endedAttempts_;     // not handled yet; empty outside executeActions()
+  std::vector<policy::Action> actions_;          // being executed; a member to reuse its memory
+  bool executing_ = false;                       // executeActions() is running further up the stack
+  std::optional<policy::Timestamp> nextWakeAt_;  // earliest time requested since the last wake()
+  policy::Timestamp latestDeadline_ = policy::Timestamp::max();  // upper bound for calls accepted from now on
   std::uint64_t violations_ = 0;
 };
 
--- a/src/core/message.hpp
+++ b/src/core/message.hpp
@@ -1,5 +1,5 @@
-// What a call asks of a worker and what the worker answers, independent of any protocol. Frontends make
-// messages of what clients send, upstreams make of them what workers read, and the other way round.
+// The protocol-independent form of a request to a worker and of its answer. Frontends convert between
+// messages and the protocols of clients, upstreams between messages and the protocols of workers.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,12 @@
 
 namespace cairnjunction {
 
-// Further data about a message: names with values, in their order, some perhaps more than once. Kept as text
-// in one piece, a line `Name: value` for each, ended by CR LF, so that a protocol of lines takes it as it is.
+// Header fields of a message: names with values, in their order; a name may occur more than once. Stored as
+// one text with a line `Name: value` CR LF for each field, so that line-based protocols can write it
+// unchanged.
 class Fields {
  public:
-  // Neither may hold CR, LF or NUL, which whoever read them from a peer has checked.
+  // Neither may contain CR, LF or NUL; the code that reads them from a peer has to check this.
   void add(std::string_view name, std::string_view value) {
     text_.append(name).append(": ").append(value).append("\r\n");
   }
@@ -24,26 +25,26 @@
   std::string_view text() const { return text_; }
 
  private:
-  std::string text_;  // whole lines
+  std::string text_;  // complete lines
 };
 
 enum class Format {
-  bytes,  // anything
-  json    // one whole JSON value (RFC 8259) that was checked by a parser
+  bytes,  // arbitrary bytes
+  json    // one complete JSON value (RFC 8259), validated by a parser
 };
 
 struct Message {
-  std::string operation;  // the name of what is asked, as the settings have it
-  std::string verb;       // the method, where the client's protocol has one; empty: see `safe`
+  std::string operation;  // name of the requested operation, as in the settings
+  std::string verb;       // method, if the client's protocol has methods; empty: see `safe`
   std::string target;     // path and query (RFC 3986, 3.3 and 3.4), beginning with '/'; empty: none
-  std::string authority;  // host and port as the client named them; empty: it did not
-  Fields fields;          // passed on unchanged
-  std::string body;       // whole, or what came before `rest`
-  std::shared_ptr<BodyStream> rest;     // of an answer that is passed on while it comes; null: there is none
-  std::optional<std::uint64_t> length;  // with `rest`: of body and rest together, if it is known
+  std::string authority;  // host and port as sent by the client; empty: not sent
+  Fields fields;          // forwarded unchanged
+  std::string body;       // the complete body, or the part that precedes `rest`
+  std::shared_ptr<BodyStream> rest;     // rest of the body of a streamed answer; null: not streamed
+  std::optional<std::uint64_t> length;  // with `rest`: bytes of `body` and `rest` together, if known
   Format format = Format::bytes;
-  bool safe = false;      // the call asks for no effect, so it may be repeated at any time
-  bool declined = false;  // the answer is an error of the application: the worker has executed the call
+  bool safe = false;      // the call has no effect, so it may be repeated at any time
+  bool declined = false;  // the answer is an application error: the worker has executed the call
 };
 
 }  // namespace cairnjunction
--- a/src/core/rate_limited_log.hpp
+++ b/src/core/rate_limited_log.hpp
@@ -1,4 +1,4 @@
-// A bound on log lines: an event that concerns all endpoints at once must not fill the log.
+// Limits the rate of log lines, so that an event that affects all endpoints at once does not flood the log.
 #pragma once
 
 #include <cstddef>
@@ -16,14 +16,14 @@
 
   explicit RateLimitedLog(Write write) : write_(std::move(write)) {}
 
-  // Writes the line, or drops it if the interval has had its share. The next line that is written tells how
-  // many were dropped before it.
+  // Writes the line, or drops it if the limit of the current interval is reached. The next line that is
+  // written states how many lines were dropped before it.
   void log(policy::Timestamp now, const std::string& line);
 
  private:
   Write write_;
   policy::Timestamp intervalStart_{};
-  int linesInInterval_ = 0;  // also dropped ones
+  int linesInInterval_ = 0;  // including dropped ones
   std::size_t dropped_ = 0;  // since the last line that was written
 };
 
--- a/src/core/reply_counters.hpp
+++ b/src/core/reply_counters.hpp
@@ -1,4 +1,4 @@
-// Replies since the start, by the name of the call's class and by status. No I/O.
+// Counts replies since construction, by the name of the call's class and by reply status. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,24 +13,25 @@
 
 class ReplyCounters {
  public:
-  struct Counts {  // of all classes that have had this name
+  // Replies to the calls of all classes that have had this name.
+  struct Counts {
     std::string className;
     std::uint64_t ok = 0;
     std::uint64_t rejected = 0;
     std::uint64_t failed = 0;
   };
 
-  // Whether so many names more may be counted.
-  bool hasRoomFor(std::size_t names) const;
-  // The classes by index from now on. Names that were counted before go on from their counts.
+  // Whether `names` further class names can be counted within the limit.
+  bool hasCapacityFor(std::size_t names) const;
+  // Sets the classes by index. The counts of a name that was counted before continue.
   void setClasses(const std::vector<policy::ClassSettings>& byIndex);
-  // Ignored for an index that no class has.
+  // Counts a reply; ignored if no class has the index.
   void add(std::uint32_t classIndex, ReplyStatus status);
   const std::vector<Counts>& counts() const { return counts_; }
 
  private:
-  std::vector<Counts> counts_;             // one for each name, in the order of their first use
-  std::vector<std::size_t> countOfClass_;  // index into counts_, by index of the class
+  std::vector<Counts> counts_;            // one for each name, in the order of first use
+  std::vector<std::size_t> countsIndex_;  // index into counts_, by class index
 };
 
 }  // namespace cairnjunction
--- a/src/core/reply_margin.hpp
+++ b/src/core/reply_margin.hpp
@@ -1,11 +1,11 @@
-// The time that is kept free between a final answer and the end of the client's time, in all protocols.
+// The time that all protocols reserve between the final answer and the client timeout.
 #pragma once
 
 #include <chrono>
 
 namespace cairnjunction {
 
-// Covers the answer's way to the client and delays of a busy machine.
+// Covers the transmission of the answer to the client and scheduling delays of a busy machine.
 inline constexpr std::chrono::milliseconds kReplyMargin{10};
 
 }  // namespace cairnjunction
--- a/src/core/upstream.hpp
+++ b/src/core/upstream.hpp
@@ -1,4 +1,4 @@
-// What the engine needs of a protocol towards endpoints.
+// The interface through which the engine sends attempts to endpoints; implemented for each protocol.
 #pragma once
 
 #include <cstdint>
@@ -10,27 +10,28 @@
 namespace cairnjunction {
 
 struct EndpointConnections {
-  std::uint32_t open = 0;         // established or being opened, without those that only stream an answer
+  std::uint32_t open = 0;         // established or being opened, except those that only stream an answer
   std::uint32_t established = 0;  // of `open`
 };
 
-// Carries out attempts; it never repeats one by itself. Each attempt that was started ends exactly once, by a
-// call of the function that the upstream was made with, perhaps from within start(), cancel() or
+// Executes attempts; it never retries by itself. The end of each started attempt is reported exactly once, to
+// the callback given to the upstream's constructor, possibly from within start(), cancel() or
 // cancelIfUnsent().
 class Upstream {
  public:
   virtual ~Upstream() = default;
-  // Begins an attempt. `call` is the caller's and must stay valid until the attempt has ended.
+  // Starts an attempt. The upstream keeps a reference to `call`, which must stay valid until the attempt
+  // ends.
   virtual void start(AttemptKey key, policy::EndpointId endpoint, const Call& call,
                      const AttemptTimeouts& timeouts) = 0;
-  // Ends the attempt if it can be ended without risk that it runs on unseen. Unknown keys are ignored, as in
-  // cancelIfUnsent().
+  // Ends the attempt, unless the worker might then continue to execute it unnoticed. Unknown keys are
+  // ignored, as in cancelIfUnsent().
   virtual void cancel(AttemptKey key) = 0;
-  // The client has disconnected. Ends an attempt that is not written to its last byte, which has not been
-  // executed then; any other goes on. Allowed also where the settings rule out cancelling.
+  // The client has disconnected. Ends an attempt whose last byte is not written yet, which therefore has not
+  // been executed; any other attempt continues. Permitted even if the settings do not allow cancelling.
   virtual void cancelIfUnsent(AttemptKey key) = 0;
-  virtual void closeIdle(policy::EndpointId endpoint) = 0;  // closes its connections without attempts
-  // The endpoint is gone and has no attempt: drops all that is kept of it. Its id may be given out anew.
+  virtual void closeIdle(policy::EndpointId endpoint) = 0;  // closes the connections that carry no attempt
+  // The endpoint was removed and has no attempt: deletes all its state. Its id may be reused.
   virtual void forget(policy::EndpointId endpoint) = 0;
 };
 
--- a/tests/core/call_table_test.cpp
+++ b/tests/core/call_table_test.cpp
@@ -46,7 +46,7 @@
 TEST_F(CallTableTest, IdsAreNeverGivenOutTwice) {
   const CallId first = add("a");
   table.find(first)->settled = true;
-  table.checkLater(first);
+  table.markPossiblyFinished(first);
   table.removeFinished();
   EXPECT_NE(add("a"), first);
 }
@@ -56,9 +56,9 @@
   const CallId id = add("a");
   ActiveCall& call = *table.find(id);
   const auto remains = [&] {
-    table.checkLater(id);
+    table.markPossiblyFinished(id);
     table.removeFinished();
-    return table.find(id) != nullptr && table.isNameInUse("a");
+    return table.find(id) != nullptr && table.isExternalIdInUse("a");
   };
   EXPECT_TRUE(remains()) << "it has no reply";
   call.settled = true;
@@ -69,7 +69,7 @@
   EXPECT_TRUE(remains()) << "its answer is being passed on";
   call.streaming = false;
   EXPECT_FALSE(remains());
-  EXPECT_FALSE(table.isNameInUse("a"));
+  EXPECT_FALSE(table.isExternalIdInUse("a"));
   EXPECT_EQ(table.size(), 0u);
 }
 
@@ -78,8 +78,8 @@
   table.find(id)->settled = true;
   table.removeFinished();
   EXPECT_NE(table.find(id), nullptr);
-  table.checkLater(id);
-  table.checkLater(id);
+  table.markPossiblyFinished(id);
+  table.markPossiblyFinished(id);
   table.removeFinished();
   EXPECT_EQ(table.find(id), nullptr);
 }
@@ -97,13 +97,13 @@
   const CallId later = add("later", 2001ms);
   const CallId settled = add("settled", 9s);
   table.find(settled)->settled = true;
-  EXPECT_EQ(table.unsettledPast(Timestamp{} + 2s), std::vector<CallId>{later});
+  EXPECT_EQ(table.unsettledWithDeadlineAfter(Timestamp{} + 2s), std::vector<CallId>{later});
 }
 
 TEST_F(CallTableTest, TheClassesOfOpenCallsAreHeld) {
   add("a", 1s, 1);
   add("b", 1s, 5);
-  EXPECT_EQ(table.heldClasses(3), (std::vector<bool>{false, true, false}));
+  EXPECT_EQ(table.classesInUse(3), (std::vector<bool>{false, true, false}));
 }
 
 }  // namespace
--- a/tests/core/class_table_test.cpp
+++ b/tests/core/class_table_test.cpp
@@ -23,7 +23,7 @@
 
 TEST(ClassTable, WhatStaysKeepsItsIndex) {
   const ClassTable table({named("a"), named("b")});
-  const auto next = table.with({named("b"), named("a")}, all);
+  const auto next = table.withClasses({named("b"), named("a")}, all);
   ASSERT_TRUE(next);
   EXPECT_EQ(next->current().at("a"), 0u);
   EXPECT_EQ(next->current().at("b"), 1u);
@@ -32,18 +32,18 @@
 
 TEST(ClassTable, AChangedClassHasAnotherIndexWhileACallHoldsItsOldOne) {
   const ClassTable table({named("a", Idempotency::safe)});
-  const auto next = table.with({named("a", Idempotency::unsafe)}, all);
+  const auto next = table.withClasses({named("a", Idempotency::unsafe)}, all);
   ASSERT_TRUE(next);
   EXPECT_EQ(next->current().at("a"), 1u);
   EXPECT_EQ(next->byIndex()[0].idempotency, Idempotency::safe) << "a call goes by it";
-  const auto free = table.with({named("a", Idempotency::unsafe)}, none);
+  const auto free = table.withClasses({named("a", Idempotency::unsafe)}, none);
   ASSERT_TRUE(free);
   EXPECT_EQ(free->current().at("a"), 0u) << "given out again";
 }
 
 TEST(ClassTable, WhatIsOverIsNoLongerFoundByName) {
   const ClassTable table({named("a"), named("b")});
-  const auto next = table.with({named("b")}, all);
+  const auto next = table.withClasses({named("b")}, all);
   ASSERT_TRUE(next);
   EXPECT_FALSE(next->current().contains("a"));
   EXPECT_EQ(next->byIndex().size(), 2u);
@@ -52,12 +52,12 @@
 TEST(ClassTable, ItsSizeIsBounded) {
   ClassTable table({named("a")});
   for (std::size_t i = 0; i + 1 < ClassTable::kMaxClasses; ++i) {
-    auto next = table.with({named("a" + std::to_string(i))}, all);
+    auto next = table.withClasses({named("a" + std::to_string(i))}, all);
     ASSERT_TRUE(next) << i;
     table = std::move(*next);
   }
-  EXPECT_FALSE(table.with({named("one more")}, all));
-  EXPECT_TRUE(table.with({named("one more")}, none)) << "nothing holds the others";
+  EXPECT_FALSE(table.withClasses({named("one more")}, all));
+  EXPECT_TRUE(table.withClasses({named("one more")}, none)) << "nothing holds the others";
 }
 
 TEST(ClassTable, OverRandomChangesAHeldIndexNeverChangesItsMeaning) {
@@ -71,7 +71,7 @@
         if (random() % 3 > 0) classes.push_back(named(name, static_cast<Idempotency>(random() % 3)));
       if (classes.empty()) classes.push_back(named("z"));
       for (std::size_t i = 0; i < table.byIndex().size(); ++i) held[i] = random() % 2 == 0;
-      const auto next = table.with(classes, [&](std::uint32_t i) { return held[i]; });
+      const auto next = table.withClasses(classes, [&](std::uint32_t i) { return held[i]; });
       ASSERT_TRUE(next);
       ASSERT_EQ(next->current().size(), classes.size());
       for (const ClassSettings& c : classes) {
--- a/tests/core/reply_counters_test.cpp
+++ b/tests/core/reply_counters_test.cpp
@@ -55,11 +55,11 @@
 
 TEST(ReplyCounters, TheNumberOfNamesIsBounded) {
   ReplyCounters counters;
-  EXPECT_TRUE(counters.hasRoomFor(4096));
-  EXPECT_FALSE(counters.hasRoomFor(4097));
+  EXPECT_TRUE(counters.hasCapacityFor(4096));
+  EXPECT_FALSE(counters.hasCapacityFor(4097));
   counters.setClasses(classesNamed({"a"}));
-  EXPECT_TRUE(counters.hasRoomFor(4095));
-  EXPECT_FALSE(counters.hasRoomFor(4096));
+  EXPECT_TRUE(counters.hasCapacityFor(4095));
+  EXPECT_FALSE(counters.hasCapacityFor(4096));
 }
 
 }  // namespace
