--- a/tests/core/attempt_rules_test.cpp
+++ b/tests/core/attempt_rules_test.cpp
@@ -1,4 +1,5 @@
-// Each rule alone: what denies an attempt, and until when one that may begin is to be written.
+// Tests each rule on its own: which conditions deny an attempt, and within which time an allowed attempt must
+// be written.
 #include "core/attempt_rules.hpp"
 
 #include <gtest/gtest.h>
@@ -30,6 +31,7 @@
   return call;
 }
 
+// A call whose first attempt that may have been executed started at `time`.
 ActiveCall callExecutedAt(Timestamp time) {
   ActiveCall call = freshCall();
   call.mayHaveExecutedAt = time;
@@ -41,7 +43,7 @@
   return decideAttempt(call, &settings, kNow);
 }
 
-TEST(AttemptRules, AFreshCallMayBeSentWithoutABoundOnItsWriting) {
+TEST(AttemptRules, NewCallIsAllowedWithoutWriteTimeout) {
   for (const Idempotency idempotency : {Idempotency::safe, Idempotency::keyed, Idempotency::unsafe}) {
     const AttemptDecision decision = decide(freshCall(), idempotency);
     EXPECT_EQ(decision.permission, AttemptPermission::allowed);
@@ -49,19 +51,19 @@
   }
 }
 
-TEST(AttemptRules, NoneForASettledCall) {
+TEST(AttemptRules, SettledCallIsDenied) {
   ActiveCall call = freshCall();
   call.settled = true;
   EXPECT_EQ(decide(call, Idempotency::safe).permission, AttemptPermission::callSettled);
 }
 
-TEST(AttemptRules, NoneBesideAnotherOfTheSameCall) {
+TEST(AttemptRules, SecondAttemptInFlightIsDenied) {
   ActiveCall call = freshCall();
   call.attemptsInFlight = 1;
   EXPECT_EQ(decide(call, Idempotency::safe).permission, AttemptPermission::attemptInFlight);
 }
 
-TEST(AttemptRules, NoneAtTheDeadlineOrLater) {
+TEST(AttemptRules, AttemptAtTheDeadlineIsDenied) {
   ActiveCall call = freshCall();
   call.deadline = kNow + 1ns;
   EXPECT_EQ(decide(call, Idempotency::safe).permission, AttemptPermission::allowed);
@@ -69,35 +71,36 @@
   EXPECT_EQ(decide(call, Idempotency::safe).permission, AttemptPermission::deadlinePassed);
 }
 
-TEST(AttemptRules, ASafeCallMayBeRepeatedAtAnyTime) {
+TEST(AttemptRules, SafeCallMayBeRepeatedAtAnyTime) {
   const AttemptDecision decision = decide(callExecutedAt(kNow - 1h), Idempotency::safe);
   EXPECT_EQ(decision.permission, AttemptPermission::allowed);
   EXPECT_EQ(decision.writeWithin, Duration::max());
 }
 
-TEST(AttemptRules, AnUnsafeCallIsNeverRepeated) {
+TEST(AttemptRules, UnsafeCallIsNeverRepeated) {
   EXPECT_EQ(decide(callExecutedAt(kNow), Idempotency::unsafe).permission, AttemptPermission::notRepeatable);
 }
 
-TEST(AttemptRules, ACallOfAnUnknownClassIsNeverRepeated) {
+TEST(AttemptRules, CallOfUnknownClassIsNeverRepeated) {
   EXPECT_EQ(decideAttempt(freshCall(), nullptr, kNow).permission, AttemptPermission::allowed);
   EXPECT_EQ(decideAttempt(callExecutedAt(kNow), nullptr, kNow).permission, AttemptPermission::notRepeatable);
 }
 
-// The repeat has to be at its worker within the window, and takes some time to get there.
-TEST(AttemptRules, AKeyedCallIsRepeatedWithinItsDedupWindowLessAMargin) {
+// A repeat must arrive at the worker within the dedup window, so a margin is reserved for its transmission.
+TEST(AttemptRules, KeyedCallIsRepeatedWithinItsDedupWindowMinusAMargin) {
   const Duration margin = 5ms;
-  const AttemptDecision inside = decide(callExecutedAt(kNow - 500ms), Idempotency::keyed);
-  EXPECT_EQ(inside.permission, AttemptPermission::allowed);
-  EXPECT_EQ(inside.writeWithin, kWindow - margin - 500ms);
-  const Timestamp last = kNow - kWindow + margin;
-  EXPECT_EQ(decide(callExecutedAt(last + 1ns), Idempotency::keyed).writeWithin, 1ns);
-  EXPECT_EQ(decide(callExecutedAt(last), Idempotency::keyed).permission,
+  const AttemptDecision withinWindow = decide(callExecutedAt(kNow - 500ms), Idempotency::keyed);
+  EXPECT_EQ(withinWindow.permission, AttemptPermission::allowed);
+  EXPECT_EQ(withinWindow.writeWithin, kWindow - margin - 500ms);
+  const Timestamp tooOld = kNow - kWindow + margin;
+  EXPECT_EQ(decide(callExecutedAt(tooOld + 1ns), Idempotency::keyed).writeWithin, 1ns);
+  EXPECT_EQ(decide(callExecutedAt(tooOld), Idempotency::keyed).permission,
             AttemptPermission::dedupWindowPassed);
 }
 
-// The window may pass between the step of the load balancer's clock and the engine's: only that is expected.
-TEST(AttemptRules, OnlyAWindowThatPassedIsNoViolation) {
+// The dedup window may end between the load balancer's decision and the engine's check. It is the only denial
+// that is no fault of the load balancer.
+TEST(AttemptRules, EveryDenialButAPassedDedupWindowIsAViolation) {
   for (const AttemptPermission permission :
        {AttemptPermission::callSettled, AttemptPermission::attemptInFlight, AttemptPermission::deadlinePassed,
         AttemptPermission::notRepeatable})
@@ -106,7 +109,7 @@
   EXPECT_FALSE(isViolation(AttemptPermission::dedupWindowPassed));
 }
 
-TEST(AttemptRules, AWindowThatPassedGoesBeforeAllOtherReasons) {
+TEST(AttemptRules, PassedDedupWindowTakesPrecedenceOverOtherDenials) {
   ActiveCall call = callExecutedAt(kNow - kWindow);
   call.settled = true;
   call.attemptsInFlight = 1;
@@ -114,7 +117,7 @@
   EXPECT_EQ(decide(call, Idempotency::keyed).permission, AttemptPermission::dedupWindowPassed);
 }
 
-TEST(AttemptRules, OnlyThreeOutcomesProveThatACallWasNotExecuted) {
+TEST(AttemptRules, OnlyOverloadedConnectFailedAndNotSentProveThatACallWasNotExecuted) {
   for (const Outcome outcome : {Outcome::overloaded, Outcome::connectFailed, Outcome::notSent})
     EXPECT_FALSE(mayHaveExecuted(outcome));
   for (const Outcome outcome : {Outcome::served, Outcome::error, Outcome::timeout, Outcome::reset,
--- a/tests/core/body_stream_test.cpp
+++ b/tests/core/body_stream_test.cpp
@@ -1,3 +1,5 @@
+// Tests the buffer between the producer and the consumer of a streamed body: order, capacity, end and
+// callbacks.
 #include "core/body_stream.hpp"
 
 #include <gtest/gtest.h>
@@ -7,7 +9,7 @@
 namespace cairnjunction::testing {
 namespace {
 
-TEST(BodyStream, BytesAreTakenInTheirOrder) {
+TEST(BodyStream, BytesAreTakenInOrder) {
   BodyStream stream(8);
   int changes = 0;
   stream.onChange = [&] { ++changes; };
@@ -19,30 +21,31 @@
   EXPECT_EQ(stream.take(), "");
 }
 
-TEST(BodyStream, AFullStreamHasNoRoomUntilItsBytesAreTaken) {
+TEST(BodyStream, FullStreamHasNoCapacityUntilItsBytesAreTaken) {
   BodyStream stream(4);
-  int told = 0;
-  stream.onRoom = [&] { ++told; };
+  int notifications = 0;
+  stream.onRoom = [&] { ++notifications; };
   stream.put("abcdef");
   EXPECT_EQ(stream.room(), 0u);
   stream.take();
-  EXPECT_EQ(told, 1);
+  EXPECT_EQ(notifications, 1);
   EXPECT_EQ(stream.room(), 4u);
   stream.take();
-  EXPECT_EQ(told, 1) << "nothing was taken";
+  EXPECT_EQ(notifications, 1) << "nothing was taken";
 }
 
-TEST(BodyStream, ItsFirstEndCounts) {
+TEST(BodyStream, OnlyTheFirstEndCounts) {
   BodyStream stream(4);
   stream.put("ab");
   stream.finish();
   stream.fail();
   EXPECT_EQ(stream.state(), BodyStream::State::whole);
-  EXPECT_EQ(stream.take(), "ab") << "what came before the end is still there";
+  EXPECT_EQ(stream.take(), "ab") << "bytes put before the end are still available";
 }
 
-// A client disconnects in the middle of an answer: the producer hears of it once and is not heard any more.
-TEST(BodyStream, AConsumerThatLeavesIsNotToldOfMore) {
+// A client disconnects in the middle of an answer: the producer is notified once, and its later calls have no
+// effect.
+TEST(BodyStream, ConsumerIsNotNotifiedAfterItHasLeft) {
   BodyStream stream(4);
   int left = 0;
   int changes = 0;
@@ -57,7 +60,7 @@
   EXPECT_EQ(stream.take(), "");
 }
 
-TEST(BodyStream, WhatIsCalledMayReplaceTheFunction) {
+TEST(BodyStream, CallbackMayReplaceItself) {
   BodyStream stream(4);
   const auto alive = std::make_shared<int>(0);
   stream.onChange = [&stream, alive] {
--- a/tests/core/call_table_test.cpp
+++ b/tests/core/call_table_test.cpp
@@ -1,3 +1,4 @@
+// Tests the table of open calls: lookup, removal of finished calls, external ids in use and counts.
 #include "core/call_table.hpp"
 
 #include <gtest/gtest.h>
@@ -30,7 +31,7 @@
   }
 };
 
-TEST_F(CallTableTest, AnAddedCallIsFoundById) {
+TEST_F(CallTableTest, AddedCallIsFoundById) {
   const CallId id = add("a", 3s);
   const ActiveCall* call = table.find(id);
   ASSERT_NE(call, nullptr);
@@ -43,7 +44,7 @@
   EXPECT_EQ(table.awaitingReply(), 1u);
 }
 
-TEST_F(CallTableTest, IdsAreNeverGivenOutTwice) {
+TEST_F(CallTableTest, IdsAreNeverReused) {
   const CallId first = add("a");
   table.find(first)->settled = true;
   table.markPossiblyFinished(first);
@@ -51,8 +52,9 @@
   EXPECT_NE(add("a"), first);
 }
 
-// A call stays, and its name with it, for as long as an attempt or a streamed answer of it may go on.
-TEST_F(CallTableTest, ACallIsRemovedOnlyWhenNothingOfItGoesOn) {
+// A call and its external id stay in the table until the call has a reply, no attempt in flight and no answer
+// that is being streamed.
+TEST_F(CallTableTest, CallIsRemovedOnlyWhenSettledWithoutAttemptAndStreaming) {
   const CallId id = add("a");
   ActiveCall& call = *table.find(id);
   const auto remains = [&] {
@@ -60,20 +62,20 @@
     table.removeFinished();
     return table.find(id) != nullptr && table.isExternalIdInUse("a");
   };
-  EXPECT_TRUE(remains()) << "it has no reply";
+  EXPECT_TRUE(remains()) << "the call has no reply";
   call.settled = true;
   call.attemptsInFlight = 1;
   EXPECT_TRUE(remains()) << "its attempt is in flight";
   call.attemptsInFlight = 0;
   call.streaming = true;
-  EXPECT_TRUE(remains()) << "its answer is being passed on";
+  EXPECT_TRUE(remains()) << "its answer is being streamed";
   call.streaming = false;
   EXPECT_FALSE(remains());
   EXPECT_FALSE(table.isExternalIdInUse("a"));
   EXPECT_EQ(table.size(), 0u);
 }
 
-TEST_F(CallTableTest, AFinishedCallIsRemovedOnlyIfItWasToBeChecked) {
+TEST_F(CallTableTest, FinishedCallIsRemovedOnlyIfMarked) {
   const CallId id = add("a");
   table.find(id)->settled = true;
   table.removeFinished();
@@ -84,7 +86,7 @@
   EXPECT_EQ(table.find(id), nullptr);
 }
 
-TEST_F(CallTableTest, CallsAwaitingTheirReplyAreCountedApartFromOpenOnes) {
+TEST_F(CallTableTest, CallsAwaitingReplyAreCountedSeparately) {
   add("a");
   add("b");
   table.stopAwaitingReply();
@@ -92,7 +94,7 @@
   EXPECT_EQ(table.size(), 2u);
 }
 
-TEST_F(CallTableTest, OnlyUnsettledCallsWithALaterDeadlineArePastATime) {
+TEST_F(CallTableTest, UnsettledCallsAreSelectedByLaterDeadline) {
   add("at", 2s);
   const CallId later = add("later", 2001ms);
   const CallId settled = add("settled", 9s);
@@ -100,7 +102,7 @@
   EXPECT_EQ(table.unsettledWithDeadlineAfter(Timestamp{} + 2s), std::vector<CallId>{later});
 }
 
-TEST_F(CallTableTest, TheClassesOfOpenCallsAreHeld) {
+TEST_F(CallTableTest, ClassesOfOpenCallsAreInUse) {
   add("a", 1s, 1);
   add("b", 1s, 5);
   EXPECT_EQ(table.classesInUse(3), (std::vector<bool>{false, true, false}));
--- a/tests/core/engine_test.cpp
+++ b/tests/core/engine_test.cpp
@@ -1,5 +1,6 @@
-// The engine alone, in a time of its own: what it enforces whatever the protocols around it do. A scripted
-// upstream ends attempts in any order, also at once; a seed reproduces a run.
+// Tests the engine on its own, with a simulated clock: the rules that it enforces regardless of the
+// protocols. A scripted upstream ends attempts in any order, also from within start(). Random runs are
+// reproducible by their seed.
 #include "core/engine.hpp"
 
 #include <gtest/gtest.h>
@@ -20,31 +21,31 @@
 using policy::Timestamp;
 
 policy::Settings settings(std::uint64_t seed) {
-  policy::Settings s;
-  s.seed = seed;
-  s.cancelAllowed = true;
-  s.maxAttempts = 6;
-  s.eventInterval = 5ms;
-  for (const auto& [name, effect] :
+  policy::Settings settings;
+  settings.seed = seed;
+  settings.cancelAllowed = true;
+  settings.maxAttempts = 6;
+  settings.eventInterval = 5ms;
+  for (const auto& [name, idempotency] :
        {std::pair{"read", Idempotency::safe}, std::pair{"write", Idempotency::unsafe},
         std::pair{"put", Idempotency::keyed}}) {
-    policy::ClassSettings c;
-    c.name = name;
-    c.idempotency = effect;
-    c.latencyObjective = 400ms;
-    c.clientTimeout = 1s;
-    c.dedupWindow = 2s;
-    s.classes.push_back(c);
+    policy::ClassSettings requestClass;
+    requestClass.name = name;
+    requestClass.idempotency = idempotency;
+    requestClass.latencyObjective = 400ms;
+    requestClass.clientTimeout = 1s;
+    requestClass.dedupWindow = 2s;
+    settings.classes.push_back(requestClass);
   }
-  return s;
+  return settings;
 }
 
 struct TestRuntime final : Runtime {
-  Timestamp at{24h};
-  Timestamp wake{};
+  Timestamp at{24h};  // the current time
+  Timestamp wake{};   // requested wake-up; zero: none
   int polls = 0;
   Timestamp now() const override { return at; }
-  void wakeAt(Timestamp t) override { wake = t; }
+  void wakeAt(Timestamp time) override { wake = time; }
   void pollEndpoints() override { ++polls; }
   void requestResync() override {}
   void log(const std::string&) override {}
@@ -52,65 +53,71 @@
 
 struct TestUpstream final : Upstream {
   struct Started {
-    policy::EndpointId host;
-    std::string name;
-    AttemptTimeouts limits;
-    Timestamp at;
+    policy::EndpointId endpoint;
+    std::string externalId;
+    AttemptTimeouts timeouts;
+    Timestamp startedAt;
   };
   Engine* engine = nullptr;
-  std::map<CallId, std::map<std::uint32_t, Started>> out;
-  std::map<std::string, int> started;
-  std::function<std::optional<Outcome>()> atOnce;  // how an attempt ends within start(), if it does
-  std::vector<AttemptKey> cancels, cancelledIfUnsent;
-  bool endCancelled = true, unwritten = false;  // the latter: no attempt is written yet
-  std::size_t overlaps = 0, late = 0, outside = 0;
-  std::map<std::string, Timestamp> windowEnd;  // of keyed calls that may have run
   TestRuntime* runtime = nullptr;
-  std::map<std::string, Timestamp> deadlines;
+  std::map<CallId, std::map<std::uint32_t, Started>> inFlight;  // by call and attempt number
+  std::map<std::string, int> started;                           // attempts, by external id
+  // Returns the outcome with which an attempt ends within start(), or nothing if it stays in flight.
+  std::function<std::optional<Outcome>()> outcomeOnStart;
+  std::vector<AttemptKey> cancels, cancelledIfUnsent;
+  bool endCancelled = true;  // cancel() ends the attempt
+  bool unwritten = false;    // no attempt is written yet, so cancelIfUnsent() ends it
+  // Violations: attempts started while another one of the call was in flight, at or after the deadline of the
+  // call, or with a write timeout that is not within its dedup window.
+  std::size_t overlaps = 0, late = 0, outsideWindow = 0;
+  std::map<std::string, Timestamp> windowEnd;  // of keyed calls that may have been executed, by external id
+  std::map<std::string, Timestamp> deadlines;  // by external id
 
-  void start(AttemptKey key, policy::EndpointId host, const Call& call,
-             const AttemptTimeouts& limits) override {
-    overlaps += !out[key.call].empty();
+  void start(AttemptKey key, policy::EndpointId endpoint, const Call& call,
+             const AttemptTimeouts& timeouts) override {
+    overlaps += !inFlight[key.call].empty();
     late += deadlines.count(call.externalId) && runtime->at >= deadlines[call.externalId];
     ++started[call.externalId];
-    out[key.call].insert_or_assign(key.attempt, Started{host, call.externalId, limits, runtime->at});
+    inFlight[key.call].insert_or_assign(key.attempt,
+                                        Started{endpoint, call.externalId, timeouts, runtime->at});
     const auto window = windowEnd.find(call.externalId);
-    outside += window != windowEnd.end() &&
-               (limits.write <= Duration{} || limits.write > window->second - runtime->at);
-    if (atOnce)
-      if (const auto outcome = atOnce()) end(key, *outcome);
+    outsideWindow += window != windowEnd.end() &&
+                     (timeouts.write <= Duration{} || timeouts.write > window->second - runtime->at);
+    if (outcomeOnStart)
+      if (const auto outcome = outcomeOnStart()) end(key, *outcome);
   }
   void cancel(AttemptKey key) override {
     cancels.push_back(key);
-    if (endCancelled && out[key.call].count(key.attempt)) end(key, Outcome::cancelled);
+    if (endCancelled && inFlight[key.call].count(key.attempt)) end(key, Outcome::cancelled);
   }
   void cancelIfUnsent(AttemptKey key) override {
     cancelledIfUnsent.push_back(key);
-    if (unwritten && out[key.call].count(key.attempt)) end(key, Outcome::connectFailed);
+    if (unwritten && inFlight[key.call].count(key.attempt)) end(key, Outcome::connectFailed);
   }
   void closeIdle(policy::EndpointId) override {}
   void forget(policy::EndpointId) override {}
+  // Ends an attempt in flight; the body of its response is the external id of the call.
   void end(AttemptKey key, Outcome outcome) {
-    const Started o = out.at(key.call).at(key.attempt);
-    out[key.call].erase(key.attempt);
-    AttemptOutcome e{key, o.host, outcome, 1ms, {}};
-    e.response.body = o.name;
-    engine->attemptEnded(std::move(e));
+    const Started attempt = inFlight.at(key.call).at(key.attempt);
+    inFlight[key.call].erase(key.attempt);
+    AttemptOutcome ended{key, attempt.endpoint, outcome, 1ms, {}};
+    ended.response.body = attempt.externalId;
+    engine->attemptEnded(std::move(ended));
   }
-  std::vector<AttemptKey> open() const {
+  std::vector<AttemptKey> keysInFlight() const {
     std::vector<AttemptKey> keys;
-    for (const auto& [call, attempts] : out)
+    for (const auto& [call, attempts] : inFlight)
       for (const auto& [attempt, unused] : attempts) keys.push_back({call, attempt});
     return keys;
   }
 };
 
 struct TestSink final : ReplySink {
-  std::map<std::uint64_t, std::vector<Reply>> replies;
-  std::function<void(std::uint64_t)> then;
+  std::map<std::uint64_t, std::vector<Reply>> replies;  // by frontend token
+  std::function<void(std::uint64_t)> afterReply;        // called from within onReply() with the token
   void onReply(std::uint64_t token, Reply reply) override {
     replies[token].push_back(std::move(reply));
-    if (then) then(token);
+    if (afterReply) afterReply(token);
   }
 };
 
@@ -120,33 +127,36 @@
   TestUpstream upstream;
   TestSink sink;
   std::unique_ptr<Engine> engine;
-  std::uint64_t token = 0;
+  std::uint64_t token = 0;  // frontend token of the last call
 
-  void start(std::uint64_t seed = 7, int hosts = 3) { start(settings(seed), hosts); }
-  void start(const policy::Settings& with, int hosts = 3) {
-    engine = std::make_unique<Engine>(with, runtime, upstream);
+  void start(std::uint64_t seed = 7, int endpoints = 3) { start(settings(seed), endpoints); }
+  // Creates the engine, with a list of `endpoints` endpoints.
+  void start(const policy::Settings& policySettings, int endpoints = 3) {
+    engine = std::make_unique<Engine>(policySettings, runtime, upstream);
     upstream.engine = engine.get();
     upstream.runtime = &runtime;
     std::vector<policy::EndpointInfo> entries;
-    for (int i = 0; i < hosts; ++i) {
-      policy::EndpointInfo e;
-      e.address = "h" + std::to_string(i);
-      entries.push_back(e);
+    for (int i = 0; i < endpoints; ++i) {
+      policy::EndpointInfo entry;
+      entry.address = "h" + std::to_string(i);
+      entries.push_back(entry);
     }
     engine->updateEndpoints(EndpointListKind::replace, entries);
   }
-  CallId acceptCall(std::uint32_t classIndex, const std::string& name, Duration left = 900ms) {
+  // Passes a call to the engine, which must accept it. Class indexes: 0 safe, 1 unsafe, 2 keyed.
+  CallId acceptCall(std::uint32_t classIndex, const std::string& externalId, Duration timeRemaining = 900ms) {
     Call call;
-    call.externalId = name;
+    call.externalId = externalId;
     call.attributes.classIndex = classIndex;
-    call.attributes.timeRemaining = left;
-    upstream.deadlines[name] = runtime.at + left;
+    call.attributes.timeRemaining = timeRemaining;
+    upstream.deadlines[externalId] = runtime.at + timeRemaining;
     CallId id = 0;
     EXPECT_EQ(engine->accept(std::move(call), sink, ++token, &id), Engine::AcceptResult::accepted);
     return id;
   }
-  void advance(Duration time) {
-    const Timestamp until = runtime.at + time;
+  // Advances the clock, with all wake-ups that the engine requests.
+  void advance(Duration duration) {
+    const Timestamp until = runtime.at + duration;
     while (runtime.wake > Timestamp{} && runtime.wake <= until) {
       runtime.at = std::max(runtime.at, runtime.wake);
       runtime.wake = Timestamp{};
@@ -156,10 +166,10 @@
   }
 };
 
-TEST_F(EngineTest, ServedOnceWithTheWorkersAnswer) {
+TEST_F(EngineTest, ServedCallGetsOneReplyWithTheWorkersAnswer) {
   start();
   const CallId id = acceptCall(1, "a");
-  ASSERT_EQ(upstream.open().size(), 1u);
+  ASSERT_EQ(upstream.keysInFlight().size(), 1u);
   upstream.end({id, 0}, Outcome::served);
   ASSERT_EQ(sink.replies[1].size(), 1u);
   EXPECT_EQ(sink.replies[1][0].status, ReplyStatus::ok);
@@ -167,7 +177,7 @@
   EXPECT_EQ(engine->activeCalls(), 0u);
 }
 
-TEST_F(EngineTest, TheExternalIdOfAnOpenCallIsNotAcceptedTwiceAndIsFreeAfterwards) {
+TEST_F(EngineTest, ExternalIdOfAnOpenCallIsNotAcceptedAgainUntilTheCallIsFinished) {
   start();
   const CallId id = acceptCall(1, "a");
   Call again;
@@ -180,7 +190,7 @@
   EXPECT_EQ(engine->accept(again, sink, 99), Engine::AcceptResult::accepted);
 }
 
-TEST_F(EngineTest, TheExternalIdStaysInUseWhileAnAttemptOfACallThatNobodyWaitsForIsInFlight) {
+TEST_F(EngineTest, ExternalIdStaysInUseWhileAnAttemptIsInFlightAfterTheClientDisconnected) {
   upstream.endCancelled = false;
   start();
   const CallId id = acceptCall(1, "a");
@@ -191,20 +201,20 @@
   EXPECT_EQ(engine->accept(again, sink, 99), Engine::AcceptResult::idInUse) << "it may still run";
   upstream.end({id, 0}, Outcome::cancelled);
   EXPECT_EQ(engine->activeCalls(), 0u);
-  EXPECT_TRUE(sink.replies.empty()) << "nobody waits for it";
+  EXPECT_TRUE(sink.replies.empty()) << "the client has disconnected";
 }
 
-// The process is about to be killed. Whatever a call with a later deadline waits for, it gets its final
-// answer before that, and nothing of it is begun afterwards.
-TEST_F(EngineTest, CallsWithADeadlineAfterTheKillEndBeforeIt) {
+// The process is about to be killed. A call with a later deadline gets its final reply before that, whether
+// it is in flight, queued by key or between two attempts, and no attempt of it starts afterwards.
+TEST_F(EngineTest, CallsWithADeadlineAfterTheKillGetTheirReplyBeforeIt) {
   for (const bool cancel : {true, false}) {
     SCOPED_TRACE(cancel);
-    policy::Settings with = settings(7);
-    with.cancelAllowed = cancel;
-    with.classes[1].serializedByKey = true;
-    start(with);
+    policy::Settings policySettings = settings(7);
+    policySettings.cancelAllowed = cancel;
+    policySettings.classes[1].serializedByKey = true;
+    start(policySettings);
     sink.replies.clear();
-    upstream.out.clear();
+    upstream.inFlight.clear();
     upstream.started.clear();
     token = 0;
     for (const std::string name : {"sent", "in turn"}) {
@@ -217,92 +227,94 @@
       upstream.deadlines[name] = runtime.at + 900ms;
       engine->accept(std::move(call), sink, ++token);
     }
-    const CallId again = acceptCall(2, "keyed");
-    upstream.end({again, 0}, Outcome::reset);
-    const CallId before = acceptCall(0, "within", 400ms);
+    const CallId keyed = acceptCall(2, "keyed");
+    upstream.end({keyed, 0}, Outcome::reset);
+    const CallId endsBefore = acceptCall(0, "within", 400ms);
     ASSERT_EQ(upstream.started["sent"], 1);
     ASSERT_EQ(upstream.started["in turn"], 0);
     engine->failCallsPast(runtime.at + 500ms);
-    const auto verdict = [&](std::uint64_t of) { return sink.replies[of].at(0).status; };
+    const auto statusOf = [&](std::uint64_t replyToken) { return sink.replies[replyToken].at(0).status; };
     ASSERT_EQ(sink.replies.size(), 3u);
-    EXPECT_EQ(verdict(1), ReplyStatus::failed) << "it may run";
-    EXPECT_EQ(verdict(2), ReplyStatus::rejected) << "it was never sent";
-    EXPECT_EQ(verdict(3), ReplyStatus::failed) << "its first attempt may have run";
+    EXPECT_EQ(statusOf(1), ReplyStatus::failed) << "it may be executed";
+    EXPECT_EQ(statusOf(2), ReplyStatus::rejected) << "it was never sent";
+    EXPECT_EQ(statusOf(3), ReplyStatus::failed) << "its first attempt may have been executed";
     EXPECT_EQ(engine->awaitingReply(), 1u);
     const auto started = upstream.started;
-    for (const AttemptKey key : upstream.open())
-      if (key.call != before) upstream.end(key, Outcome::reset);
+    for (const AttemptKey key : upstream.keysInFlight())
+      if (key.call != endsBefore) upstream.end(key, Outcome::reset);
     EXPECT_EQ(upstream.started, started);
-    upstream.end({before, 0}, Outcome::served);
-    EXPECT_EQ(verdict(4), ReplyStatus::ok) << "it had no time beyond";
+    upstream.end({endsBefore, 0}, Outcome::served);
+    EXPECT_EQ(statusOf(4), ReplyStatus::ok) << "its deadline is before the kill";
     EXPECT_EQ(engine->activeCalls(), 0u);
-    for (const auto& [of, replies] : sink.replies) EXPECT_EQ(replies.size(), 1u);
+    for (const auto& [replyToken, replies] : sink.replies) EXPECT_EQ(replies.size(), 1u);
   }
 }
 
-// The settings may rule out cancelling: what is not written yet is tokens back all the same.
-TEST_F(EngineTest, AnUnsentAttemptIsCancelledWhenItsClientDisconnectsWhateverTheSettingsSay) {
+// Even if the settings do not allow cancelling, an attempt that is not completely written yet is cancelled
+// when its client disconnects.
+TEST_F(EngineTest, UnsentAttemptIsCancelledOnDisconnectRegardlessOfTheSettings) {
   for (const bool cancel : {true, false})
     for (const std::uint32_t classIndex : {0u, 1u, 2u}) {
       SCOPED_TRACE(std::to_string(cancel) + " " + std::to_string(classIndex));
       upstream.cancelledIfUnsent.clear();
       upstream.endCancelled = false;
       upstream.unwritten = true;
-      policy::Settings with = settings(7);
-      with.cancelAllowed = cancel;
-      start(with);
+      policy::Settings policySettings = settings(7);
+      policySettings.cancelAllowed = cancel;
+      start(policySettings);
       const CallId id = acceptCall(classIndex, "a");
       engine->clientDisconnected(id);
       ASSERT_EQ(upstream.cancelledIfUnsent.size(), 1u);
       EXPECT_EQ(upstream.cancelledIfUnsent[0], (AttemptKey{id, 0}));
       EXPECT_EQ(engine->activeCalls(), 0u);
-      EXPECT_EQ(upstream.started["a"], 1) << "and none is begun in its place";
+      EXPECT_EQ(upstream.started["a"], 1) << "no other attempt is started instead";
       upstream.started.clear();
     }
 }
 
-TEST_F(EngineTest, AWrittenAttemptGoesOnWhereItMayNotBeCancelled) {
-  policy::Settings with = settings(7);
-  with.cancelAllowed = false;
-  start(with);
+TEST_F(EngineTest, WrittenAttemptContinuesAfterDisconnectIfCancellingIsNotAllowed) {
+  policy::Settings policySettings = settings(7);
+  policySettings.cancelAllowed = false;
+  start(policySettings);
   const CallId id = acceptCall(1, "a");
   engine->clientDisconnected(id);
   EXPECT_TRUE(upstream.cancels.empty());
-  EXPECT_EQ(engine->activeCalls(), 1u) << "its name stays tokens";
+  EXPECT_EQ(engine->activeCalls(), 1u) << "its external id stays in use";
   upstream.end({id, 0}, Outcome::served);
   EXPECT_EQ(engine->activeCalls(), 0u);
   EXPECT_TRUE(sink.replies.empty());
 }
 
-// Workers drop repeats for a limited time only. Later attempts may have been executed too, so the window
-// counts from the first.
-TEST_F(EngineTest, AKeyedCallThatMayHaveRunIsWrittenOnlyWithinItsWindowFromThatAttempt) {
-  policy::Settings with = settings(7);
-  with.classes[2].dedupWindow = 300ms;
-  start(with);
+// Workers drop repeats for a limited time only. The dedup window counts from the first attempt that may have
+// been executed, although later attempts may have been executed too.
+TEST_F(EngineTest, KeyedCallIsRepeatedOnlyWithinTheDedupWindowOfItsFirstPossibleExecution) {
+  policy::Settings policySettings = settings(7);
+  policySettings.classes[2].dedupWindow = 300ms;
+  start(policySettings);
   const CallId id = acceptCall(2, "a");
-  EXPECT_EQ(upstream.out[id].at(0).limits.write, Duration::max()) << "nothing has run";
+  EXPECT_EQ(upstream.inFlight[id].at(0).timeouts.write, Duration::max()) << "no execution is possible yet";
   advance(40ms);
   upstream.end({id, 0}, Outcome::connectFailed);
   ASSERT_EQ(upstream.started["a"], 2);
-  EXPECT_EQ(upstream.out[id].at(1).limits.write, Duration::max()) << "nor now";
+  EXPECT_EQ(upstream.inFlight[id].at(1).timeouts.write, Duration::max()) << "still not executed";
   advance(100ms);
   upstream.end({id, 1}, Outcome::reset);
   ASSERT_EQ(upstream.started["a"], 3);
-  const Duration left = upstream.out[id].at(2).limits.write;
-  EXPECT_LT(left, 200ms) << "from the start of the attempt that may have run";
-  EXPECT_GT(left, 180ms);
+  const Duration writeTimeout = upstream.inFlight[id].at(2).timeouts.write;
+  EXPECT_LT(writeTimeout, 200ms) << "counted from the start of the attempt that may have been executed";
+  EXPECT_GT(writeTimeout, 180ms);
   advance(50ms);
   upstream.end({id, 2}, Outcome::reset);
   ASSERT_EQ(upstream.started["a"], 4);
-  EXPECT_EQ(upstream.out[id].at(3).limits.write, left - 50ms) << "not from the later one";
+  EXPECT_EQ(upstream.inFlight[id].at(3).timeouts.write, writeTimeout - 50ms)
+      << "not counted from the later attempt";
   advance(160ms);
   upstream.end({id, 3}, Outcome::connectFailed);
-  EXPECT_EQ(upstream.started["a"], 4) << "the window is over";
+  EXPECT_EQ(upstream.started["a"], 4) << "the dedup window has ended";
   ASSERT_EQ(sink.replies[1].size(), 1u);
 }
 
-TEST_F(EngineTest, AnOutcomeThatComesTwiceOrOfAnUnknownCallIsIgnored) {
+TEST_F(EngineTest, DuplicateOutcomeAndOutcomeOfAnUnknownCallAreIgnored) {
   start();
   const CallId id = acceptCall(1, "a");
   engine->attemptEnded({{id, 0}, 0, Outcome::served, 1ms, {}});
@@ -311,23 +323,23 @@
   EXPECT_EQ(sink.replies[1].size(), 1u);
 }
 
-TEST_F(EngineTest, AtTheDeadlineItIsAnsweredThoughTheUpstreamSaysNothing) {
+TEST_F(EngineTest, CallGetsItsReplyByItsDeadlineIfTheUpstreamReportsNothing) {
   upstream.endCancelled = false;
   start();
   acceptCall(1, "unsafe");
   acceptCall(0, "safe");
   advance(900ms);
   ASSERT_EQ(sink.replies[1].size(), 1u);
-  EXPECT_EQ(sink.replies[1][0].status, ReplyStatus::failed) << "it may have run";
+  EXPECT_EQ(sink.replies[1][0].status, ReplyStatus::failed) << "it may have been executed";
   ASSERT_EQ(sink.replies[2].size(), 1u);
   EXPECT_EQ(sink.replies[2][0].status, ReplyStatus::rejected);
   EXPECT_EQ(upstream.started["unsafe"], 1);
 }
 
-TEST_F(EngineTest, TwoAttemptsOfACallNeverOverlapThoughTheLoadBalancerHedges) {
-  policy::Settings s = settings(7);
-  s.hedging = true;  // a second copy when the first is slow
-  engine = std::make_unique<Engine>(s, runtime, upstream);
+TEST_F(EngineTest, AttemptsOfACallNeverOverlapIfTheLoadBalancerHedges) {
+  policy::Settings policySettings = settings(7);
+  policySettings.hedging = true;  // requests a second attempt if the first one is slow
+  engine = std::make_unique<Engine>(policySettings, runtime, upstream);
   upstream.engine = engine.get();
   upstream.runtime = &runtime;
   policy::EndpointInfo a, b;
@@ -336,8 +348,8 @@
   engine->updateEndpoints(EndpointListKind::replace, {a, b});
   for (int i = 0; i < 20; ++i) upstream.end({acceptCall(0, "quick" + std::to_string(i)), 0}, Outcome::served);
   const CallId slow = acceptCall(0, "slow");
-  advance(200ms);  // many times the usual
-  EXPECT_GT(engine->violations(), 0u) << "the load balancer did try";
+  advance(200ms);  // many times the usual latency
+  EXPECT_GT(engine->violations(), 0u) << "the load balancer requested a hedge";
   EXPECT_EQ(upstream.overlaps, 0u);
   EXPECT_EQ(upstream.started["slow"], 1);
   upstream.end({slow, 0}, Outcome::served);
@@ -346,125 +358,128 @@
   EXPECT_EQ(engine->activeCalls(), 0u);
 }
 
-// A large answer is passed on while it comes: the client has its reply when it begins, and whether the call
-// was served is known only when it ends.
-TEST_F(EngineTest, AStreamedAnswerIsTheReplyAtItsBeginAndIsCountedAtItsEnd) {
+// A large answer is streamed: the client gets the reply when the answer starts, but whether the call was
+// served is known only at its end.
+TEST_F(EngineTest, StreamedAnswerIsTheReplyAtItsStartAndIsCountedAtItsEnd) {
   start();
   const CallId id = acceptCall(1, "a");
-  AttemptOutcome begun{{id, 0}, upstream.out[id].at(0).host, Outcome::served, 1ms, {}};
-  begun.response.rest = std::make_shared<BodyStream>(16);
-  engine->responseStarted(begun);
+  AttemptOutcome responseStart{{id, 0}, upstream.inFlight[id].at(0).endpoint, Outcome::served, 1ms, {}};
+  responseStart.response.rest = std::make_shared<BodyStream>(16);
+  engine->responseStarted(responseStart);
   ASSERT_EQ(sink.replies[1].size(), 1u);
   EXPECT_EQ(sink.replies[1][0].status, ReplyStatus::ok);
   EXPECT_EQ(engine->awaitingReply(), 1u);
   EXPECT_EQ(engine->replyCounts()[1].ok, 0u);
   upstream.end({id, 0}, Outcome::reset);
   EXPECT_EQ(sink.replies[1].size(), 1u);
-  EXPECT_EQ(engine->replyCounts()[1].failed, 1u) << "it broke off";
+  EXPECT_EQ(engine->replyCounts()[1].failed, 1u) << "the answer is incomplete";
   EXPECT_EQ(engine->awaitingReply(), 0u);
   EXPECT_EQ(engine->activeCalls(), 0u);
 }
 
 // The client's connection breaks while the first bytes of a streamed answer are written to it: the attempt
-// ends from within the reply, and the call is gone before the reply returns.
-TEST_F(EngineTest, AStreamedAnswerMayEndFromWithinItsReply) {
+// ends from within the reply, and the call is removed before the reply returns.
+TEST_F(EngineTest, StreamedAnswerMayEndFromWithinItsReply) {
   start();
   const CallId id = acceptCall(1, "a");
-  sink.then = [&](std::uint64_t) { upstream.end({id, 0}, Outcome::cancelled); };
-  engine->responseStarted({{id, 0}, upstream.out[id].at(0).host, Outcome::served, 1ms, {}});
+  sink.afterReply = [&](std::uint64_t) { upstream.end({id, 0}, Outcome::cancelled); };
+  engine->responseStarted({{id, 0}, upstream.inFlight[id].at(0).endpoint, Outcome::served, 1ms, {}});
   EXPECT_EQ(sink.replies[1].size(), 1u);
   EXPECT_EQ(engine->activeCalls(), 0u);
   EXPECT_EQ(engine->awaitingReply(), 0u);
 }
 
-TEST_F(EngineTest, AStreamedAnswerThatNobodyWaitsForIsLeft) {
+TEST_F(EngineTest, StreamedAnswerIsDroppedAfterTheClientDisconnected) {
   upstream.endCancelled = false;
   start();
   const CallId id = acceptCall(1, "a");
   engine->clientDisconnected(id);
-  AttemptOutcome begun{{id, 0}, upstream.out[id].at(0).host, Outcome::served, 1ms, {}};
-  begun.response.rest = std::make_shared<BodyStream>(16);
-  engine->responseStarted(begun);
-  EXPECT_TRUE(begun.response.rest->left());
+  AttemptOutcome responseStart{{id, 0}, upstream.inFlight[id].at(0).endpoint, Outcome::served, 1ms, {}};
+  responseStart.response.rest = std::make_shared<BodyStream>(16);
+  engine->responseStarted(responseStart);
+  EXPECT_TRUE(responseStart.response.rest->left());
   EXPECT_TRUE(sink.replies.empty());
 }
 
-TEST_F(EngineTest, AReplyMayLeadToTheNextCallFromWithin) {
+TEST_F(EngineTest, NextCallMayBeAcceptedFromWithinAReply) {
   start();
-  upstream.atOnce = [] { return Outcome::served; };
-  int more = 50;
-  sink.then = [&](std::uint64_t) {
-    if (more-- > 0) acceptCall(0, "next" + std::to_string(more));
+  upstream.outcomeOnStart = [] { return Outcome::served; };
+  int remaining = 50;
+  sink.afterReply = [&](std::uint64_t) {
+    if (remaining-- > 0) acceptCall(0, "next" + std::to_string(remaining));
   };
   acceptCall(0, "first");
   EXPECT_EQ(sink.replies.size(), 51u);
   EXPECT_EQ(engine->activeCalls(), 0u);
 }
 
-// Random events of all kinds. Whatever happens: each call has one reply, or none if disconnected; no attempts
-// of one call overlap; none starts late, or after its client left; an unsafe call is started again only if no
-// attempt of it may have run, and a keyed one only to be written within its window.
+// Random events of all kinds. Expected in every run: each call has one reply, or none if its client has
+// disconnected; no attempts of a call overlap; none starts at or after the deadline, or after its client has
+// disconnected; an unsafe call is repeated only if no attempt of it may have been executed, and a keyed call
+// only within its dedup window.
 class EngineProperty : public EngineTest, public ::testing::WithParamInterface<int> {};
 
-TEST_P(EngineProperty, OneAnswerAndNoOverlapWhateverHappens) {
+TEST_P(EngineProperty, OneReplyAndNoOverlapUnderRandomEvents) {
   std::mt19937_64 random(static_cast<std::uint64_t>(GetParam()));
   const auto below = [&](std::uint64_t n) { return random() % n; };
   upstream.endCancelled = GetParam() % 2 == 0;
   upstream.unwritten = GetParam() % 5 == 0;
-  policy::Settings with = settings(random());
-  with.cancelAllowed = GetParam() % 4 != 1;
-  with.classes[2].dedupWindow = GetParam() % 3 == 1 ? 150ms : 2000ms;
-  start(with, 4);
-  const std::vector<Outcome> ends{Outcome::served,  Outcome::error, Outcome::overloaded,
-                                  Outcome::timeout, Outcome::reset, Outcome::connectFailed,
-                                  Outcome::served};
+  policy::Settings policySettings = settings(random());
+  policySettings.cancelAllowed = GetParam() % 4 != 1;
+  policySettings.classes[2].dedupWindow = GetParam() % 3 == 1 ? 150ms : 2000ms;
+  start(policySettings, 4);
+  const std::vector<Outcome> outcomes{Outcome::served,  Outcome::error, Outcome::overloaded,
+                                      Outcome::timeout, Outcome::reset, Outcome::connectFailed,
+                                      Outcome::served};
   if (GetParam() % 3 == 0)
-    upstream.atOnce = [&]() -> std::optional<Outcome> {
+    upstream.outcomeOnStart = [&]() -> std::optional<Outcome> {
       if (below(4)) return std::nullopt;
       return below(2) ? Outcome::connectFailed : Outcome::overloaded;
     };
   std::map<CallId, std::uint64_t> tokens;
-  std::set<std::uint64_t> disconnected;
-  std::map<std::string, bool> ranOnce;  // of unsafe calls: an attempt may have run
-  std::map<CallId, std::string> names;
-  std::map<std::string, int> startedWhenLeft;
+  std::set<std::uint64_t> disconnected;             // tokens
+  std::map<std::string, bool> mayHaveExecutedOnce;  // by external id
+  std::map<CallId, std::string> externalIds;
+  std::map<std::string, int> startedAtDisconnect;  // number of attempts, by external id
   for (int i = 0; i < 3000; ++i) {
     switch (below(9)) {
       case 0:
       case 1:
       case 2: {
         const auto classIndex = static_cast<std::uint32_t>(below(3));
-        const std::string name = std::to_string(classIndex) + "-" + std::to_string(i);
-        const CallId id = acceptCall(classIndex, name, std::chrono::milliseconds(below(1000)));
+        const std::string externalId = std::to_string(classIndex) + "-" + std::to_string(i);
+        const CallId id = acceptCall(classIndex, externalId, std::chrono::milliseconds(below(1000)));
         tokens[id] = token;
-        names[id] = name;
+        externalIds[id] = externalId;
         break;
       }
       case 3:
       case 4:
       case 5: {
-        const auto open = upstream.open();
-        if (open.empty()) break;
-        const AttemptKey key = open[below(open.size())];
-        const Outcome outcome = ends[below(ends.size())];
-        const std::string name = upstream.out[key.call].at(key.attempt).name;
-        const int before = upstream.started[name];
-        const bool mayHaveRun = outcome != Outcome::overloaded && outcome != Outcome::connectFailed;
-        if (mayHaveRun) ranOnce[name] = true;
-        if (mayHaveRun && name[0] == '2')
-          upstream.windowEnd.emplace(name,
-                                     upstream.out[key.call].at(key.attempt).at + with.classes[2].dedupWindow);
+        const auto keys = upstream.keysInFlight();
+        if (keys.empty()) break;
+        const AttemptKey key = keys[below(keys.size())];
+        const Outcome outcome = outcomes[below(outcomes.size())];
+        const TestUpstream::Started attempt = upstream.inFlight[key.call].at(key.attempt);
+        const std::string& externalId = attempt.externalId;
+        const int startedBefore = upstream.started[externalId];
+        const bool executionPossible = outcome != Outcome::overloaded && outcome != Outcome::connectFailed;
+        if (executionPossible) mayHaveExecutedOnce[externalId] = true;
+        if (executionPossible && externalId[0] == '2')
+          upstream.windowEnd.emplace(externalId, attempt.startedAt + policySettings.classes[2].dedupWindow);
         upstream.end(key, outcome);
-        if (name[0] == '1' && ranOnce[name]) EXPECT_EQ(upstream.started[name], before) << name;
+        if (externalId[0] == '1' && mayHaveExecutedOnce[externalId])
+          EXPECT_EQ(upstream.started[externalId], startedBefore) << externalId;
         break;
       }
       case 6: {
         if (tokens.empty()) break;
         auto it = tokens.begin();
         std::advance(it, static_cast<std::ptrdiff_t>(below(tokens.size())));
-        if (!sink.replies.count(it->second) && disconnected.insert(it->second).second)
-          startedWhenLeft[names[it->first]] = upstream.started[names[it->first]];
-        engine->clientDisconnected(it->first);
+        const auto& [id, callToken] = *it;
+        if (!sink.replies.count(callToken) && disconnected.insert(callToken).second)
+          startedAtDisconnect[externalIds[id]] = upstream.started[externalIds[id]];
+        engine->clientDisconnected(id);
         break;
       }
       case 7: advance(std::chrono::milliseconds(below(40))); break;
@@ -472,17 +487,20 @@
     }
   }
   advance(2s);
-  for (const AttemptKey key : upstream.open()) upstream.end(key, Outcome::timeout);
+  for (const AttemptKey key : upstream.keysInFlight()) upstream.end(key, Outcome::timeout);
   advance(2s);
   EXPECT_EQ(upstream.overlaps, 0u);
   EXPECT_EQ(upstream.late, 0u);
-  EXPECT_EQ(upstream.outside, 0u) << "keyed, past its window";
-  for (const auto& [name, started] : startedWhenLeft)
-    EXPECT_EQ(upstream.started[name], started) << name << " was started after its client had left";
-  EXPECT_EQ(engine->violations(), 0u) << "the load balancer asked for nothing that had to be denied";
+  EXPECT_EQ(upstream.outsideWindow, 0u) << "keyed calls written after their dedup window";
+  for (const auto& [externalId, started] : startedAtDisconnect)
+    EXPECT_EQ(upstream.started[externalId], started)
+        << externalId << " was started after its client had disconnected";
+  EXPECT_EQ(engine->violations(), 0u) << "the load balancer requested an attempt that was denied";
   EXPECT_EQ(engine->activeCalls(), 0u);
-  for (const auto& [id, t] : tokens)
-    EXPECT_EQ(sink.replies.count(t) ? sink.replies[t].size() : 0u, disconnected.count(t) ? 0u : 1u) << t;
+  for (const auto& [id, callToken] : tokens)
+    EXPECT_EQ(sink.replies.count(callToken) ? sink.replies[callToken].size() : 0u,
+              disconnected.count(callToken) ? 0u : 1u)
+        << callToken;
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, EngineProperty, ::testing::Range(1, 25));
 
--- a/tests/core/rate_limited_log_test.cpp
+++ b/tests/core/rate_limited_log_test.cpp
@@ -1,3 +1,4 @@
+// Tests the limit on log lines and the count of dropped lines.
 #include "core/rate_limited_log.hpp"
 
 #include <gtest/gtest.h>
@@ -11,15 +12,16 @@
 using namespace std::chrono_literals;
 using policy::Timestamp;
 
-// All endpoints of a zone become unreachable at once: the log gets a few lines and the number of the others.
-TEST(RateLimitedLog, TenLinesASecondAndThenTheNumberOfThoseLeftOut) {
+// If all endpoints of a zone become unreachable at once, the log gets a few lines and the number of dropped
+// lines.
+TEST(RateLimitedLog, WritesTenLinesPerSecondAndTheNumberOfDroppedLines) {
   std::vector<std::string> lines;
   RateLimitedLog log([&](const std::string& line) { lines.push_back(line); });
   const Timestamp start = Timestamp{} + 60s;
   for (int i = 0; i < 15; ++i) log.log(start + i * 1ms, "line " + std::to_string(i));
   ASSERT_EQ(lines.size(), 10u);
   EXPECT_EQ(lines.back(), "line 9");
-  log.log(start + 999ms, "also left out");
+  log.log(start + 999ms, "also dropped");
   EXPECT_EQ(lines.size(), 10u);
   log.log(start + 1s, "the next second");
   log.log(start + 1s, "and its second line");
--- a/tests/core/reply_counters_test.cpp
+++ b/tests/core/reply_counters_test.cpp
@@ -1,3 +1,4 @@
+// Tests the counts of replies by class name and status, also across changes of the classes.
 #include "core/reply_counters.hpp"
 
 #include <gtest/gtest.h>
@@ -25,8 +26,8 @@
   EXPECT_EQ(counters.counts()[1].failed, 2u);
 }
 
-// A reload may give a class another index; whoever reads the figures goes by its name.
-TEST(ReplyCounters, ANameGoesOnFromItsCountsThroughNewSettings) {
+// A reload may give a class another index, but the metrics identify it by its name.
+TEST(ReplyCounters, CountsOfANameContinueAcrossNewSettings) {
   ReplyCounters counters;
   counters.setClasses(classesNamed({"a", "b"}));
   counters.add(0, ReplyStatus::ok);
@@ -37,7 +38,7 @@
   EXPECT_EQ(counters.counts()[2].className, "c");
 }
 
-TEST(ReplyCounters, TwoIndexesOfOneNameShareItsCounts) {
+TEST(ReplyCounters, IndexesWithTheSameNameShareTheirCounts) {
   ReplyCounters counters;
   counters.setClasses(classesNamed({"a", "a"}));
   counters.add(0, ReplyStatus::ok);
@@ -46,14 +47,14 @@
   EXPECT_EQ(counters.counts()[0].ok, 2u);
 }
 
-TEST(ReplyCounters, AnUnknownClassIsNotCounted) {
+TEST(ReplyCounters, UnknownClassIsNotCounted) {
   ReplyCounters counters;
   counters.add(0, ReplyStatus::ok);
   counters.add(policy::kNone, ReplyStatus::ok);
   EXPECT_TRUE(counters.counts().empty());
 }
 
-TEST(ReplyCounters, TheNumberOfNamesIsBounded) {
+TEST(ReplyCounters, NumberOfNamesIsLimited) {
   ReplyCounters counters;
   EXPECT_TRUE(counters.hasCapacityFor(4096));
   EXPECT_FALSE(counters.hasCapacityFor(4097));
