--- a/tests/membership/endpoint_health_test.cpp
+++ b/tests/membership/endpoint_health_test.cpp
@@ -1,5 +1,5 @@
-// The status of endpoints and the changes of their reachability, under a simulated clock: each event comes as
-// the upstream and the list would bring it.
+// Tests the status of endpoints and the changes of their reachability with a simulated clock. The tests raise
+// the same events as the upstream and discovery.
 #include "membership/endpoint_health.hpp"
 
 #include <gtest/gtest.h>
@@ -26,37 +26,38 @@
   Timestamp now{24h};
   EndpointHealth::Settings settings;
   std::unique_ptr<EndpointHealth> health;
-  std::map<EndpointId, Reachability> reach;  // as the decision module was notified
-  std::map<EndpointId, Timestamp> startedAfter;
-  std::map<EndpointId, int> probes;  // started
+  std::map<EndpointId, Reachability> reachability;  // as last reported to the load balancer
+  std::map<EndpointId, Timestamp> startedAfter;     // as last reported
+  std::map<EndpointId, int> probes;                 // number of probes offered
   policy::RequestId lastRequest = 0;
 
   void SetUp() override {
     settings.slowStartDuration = 9s;
     health = std::make_unique<EndpointHealth>(settings);
   }
-  void list(EndpointId endpoints, EndpointListKind kind = EndpointListKind::replace,
-            Timestamp startedAt = {}) {
+  // Applies a list with the active endpoints 0 to `endpoints` - 1.
+  void applyList(EndpointId endpoints, EndpointListKind kind = EndpointListKind::replace,
+                 Timestamp startedAt = {}) {
     std::vector<EndpointHealth::ListedEndpoint> entries;
     for (EndpointId endpoint = 0; endpoint < endpoints; ++endpoint)
       entries.push_back({endpoint, EndpointState::active, startedAt});
     health->onList(now, kind, entries);
     collectChanges();
   }
-  void update(EndpointId endpoint, EndpointState state, Timestamp startedAt = {}) {
+  void updateEntry(EndpointId endpoint, EndpointState state, Timestamp startedAt = {}) {
     health->onList(now, EndpointListKind::update, {{endpoint, state, startedAt}});
     collectChanges();
   }
   void collectChanges() {
     for (const EndpointHealth::ReachabilityChange& change : health->takeChanges()) {
-      reach[change.endpoint] = change.reachability;
+      reachability[change.endpoint] = change.reachability;
       startedAfter[change.endpoint] = change.startedAfter;
       probes[change.endpoint] += change.reachability == Reachability::probeOnly;
     }
   }
-  // Sends an attempt, which ends after `elapsed`.
-  void attempt(EndpointId endpoint, Outcome outcome, FailureReason reason = FailureReason::unknown,
-               ConnectionUse connectionUse = ConnectionUse::opened, policy::Duration elapsed = 1ms) {
+  // Starts an attempt and ends it after `elapsed`.
+  void runAttempt(EndpointId endpoint, Outcome outcome, FailureReason reason = FailureReason::unknown,
+                  ConnectionUse connectionUse = ConnectionUse::opened, policy::Duration elapsed = 1ms) {
     ++lastRequest;
     health->onAttemptStarted(endpoint, lastRequest, 0);
     now += elapsed;
@@ -64,66 +65,65 @@
                            {lastRequest, 0, endpoint, outcome, elapsed, false, reason, connectionUse, false});
     collectChanges();
   }
-  void refused(EndpointId endpoint) {
-    attempt(endpoint, Outcome::connectFailed, FailureReason::connectionRefused, ConnectionUse::none);
+  void refuseConnection(EndpointId endpoint) {
+    runAttempt(endpoint, Outcome::connectFailed, FailureReason::connectionRefused, ConnectionUse::none);
   }
-  void silent(EndpointId endpoint) {
-    attempt(endpoint, Outcome::connectFailed, FailureReason::connectTimeout, ConnectionUse::none, 200ms);
+  void timeOutConnection(EndpointId endpoint) {
+    runAttempt(endpoint, Outcome::connectFailed, FailureReason::connectTimeout, ConnectionUse::none, 200ms);
   }
-  // Ticks every 10 ms and calls `each`, which may answer probes.
-  template <class Each>
-  void passTime(policy::Duration time, Each each) {
-    for (const Timestamp end = now + time; now < end;) {
+  // Advances the clock in ticks of 10 ms and calls `onTick` after each, which may end probes.
+  template <class OnTick>
+  void advance(policy::Duration duration, OnTick onTick) {
+    for (const Timestamp end = now + duration; now < end;) {
       now += 10ms;
       health->onTick(now);
       collectChanges();
-      each();
+      onTick();
     }
   }
-  void passTime(policy::Duration time) {
-    passTime(time, [] {});
+  void advance(policy::Duration duration) {
+    advance(duration, [] {});
   }
   EndpointCondition condition(EndpointId endpoint) const { return health->statusOf(endpoint, now).condition; }
   ConditionReason reason(EndpointId endpoint) const { return health->statusOf(endpoint, now).reason; }
 };
 
-// --- Reachability and probes
-// -----------------------------------------------------------------------------------------
+// --- Reachability and probes ------------------------------------------------------------------------------
 
-// An endpoint refuses a connection. It is unreachable at once, probed after 100 ms, and reachable when that
-// is answered; since its process must be a new one, it is in slow start.
-TEST_F(EndpointHealthTest, RefusalMakesUnreachableUntilAProbeIsAnsweredAndThenSlowStartHolds) {
-  list(3);
+// An endpoint refuses a connection. It becomes unreachable at once, is probed after 100 ms, and is reachable
+// again when it answers the probe. Its process must be a new one, so it is in slow start.
+TEST_F(EndpointHealthTest, RefusalMakesUnreachableUntilAProbeIsAnsweredAndSlowStartFollows) {
+  applyList(3);
   const Timestamp before = now;
-  refused(1);
-  EXPECT_EQ(reach[1], Reachability::unreachable);
+  refuseConnection(1);
+  EXPECT_EQ(reachability[1], Reachability::unreachable);
   EXPECT_EQ(condition(1), EndpointCondition::unreachable);
   EXPECT_EQ(reason(1), ConditionReason::connectionRefused);
   EXPECT_EQ(health->unreachableCount(), 1u);
   EXPECT_EQ(health->activeCount(), 3u);
-  passTime(90ms);
-  EXPECT_EQ(reach[1], Reachability::unreachable);
-  passTime(20ms);
-  EXPECT_EQ(reach[1], Reachability::probeOnly);
-  attempt(1, Outcome::served);
-  EXPECT_EQ(reach[1], Reachability::reachable);
-  // What takes connections where one was refused is a new process.
+  advance(90ms);
+  EXPECT_EQ(reachability[1], Reachability::unreachable);
+  advance(20ms);
+  EXPECT_EQ(reachability[1], Reachability::probeOnly);
+  runAttempt(1, Outcome::served);
+  EXPECT_EQ(reachability[1], Reachability::reachable);
+  // Only a new process accepts connections after a refusal.
   EXPECT_GT(startedAfter[1], before);
   EXPECT_EQ(condition(1), EndpointCondition::slowStart);
-  passTime(9s);
+  advance(9s);
   EXPECT_EQ(condition(1), EndpointCondition::serving);
 }
 
-// An endpoint refuses all its probes for 10 s. They come one at a time and at growing intervals.
+// An endpoint refuses all its probes for 10 s. They are sent one at a time and at growing intervals.
 TEST_F(EndpointHealthTest, ProbesOfOneEndpointBackOff) {
-  list(2);
-  refused(0);
+  applyList(2);
+  refuseConnection(0);
   std::vector<Timestamp> sent;
-  passTime(10s, [&] {
-    if (reach[0] != Reachability::probeOnly) return;
+  advance(10s, [&] {
+    if (reachability[0] != Reachability::probeOnly) return;
     sent.push_back(now);
-    refused(0);
-    reach[0] = Reachability::unreachable;  // as the decision module does when it sends
+    refuseConnection(0);
+    reachability[0] = Reachability::unreachable;  // as the load balancer does when it sends the probe
   });
   ASSERT_GE(sent.size(), 5u);
   EXPECT_LE(sent.size(), 16u);
@@ -132,41 +132,41 @@
   EXPECT_GE(sent.back() - sent[sent.size() - 2], settings.probeMaxBackoff);
 }
 
-// A probe is pending for seconds, and an older attempt at the same endpoint fails meanwhile. No other probe
-// starts before the pending one has ended.
+// A probe is pending for seconds, and an older attempt to the same endpoint fails in the meantime. No other
+// probe starts before the pending one has ended.
 TEST_F(EndpointHealthTest, NoProbeStartsWhileOneIsPending) {
-  list(2);
-  refused(0);
-  passTime(200ms);
-  ASSERT_EQ(reach[0], Reachability::probeOnly);
+  applyList(2);
+  refuseConnection(0);
+  advance(200ms);
+  ASSERT_EQ(reachability[0], Reachability::probeOnly);
   ASSERT_EQ(probes[0], 1);
   health->onAttemptStarted(0, 77, 0);
-  passTime(5s);
+  advance(5s);
   EXPECT_EQ(probes[0], 1);
-  // An attempt from before that ends now is not the probe.
-  attempt(0, Outcome::connectFailed, FailureReason::connectionRefused, ConnectionUse::none);
-  passTime(2s);
+  // The end of an older attempt is not taken for the end of the probe.
+  runAttempt(0, Outcome::connectFailed, FailureReason::connectionRefused, ConnectionUse::none);
+  advance(2s);
   EXPECT_EQ(probes[0], 1);
   health->onAttemptEnded(now, {77, 0, 0, Outcome::connectFailed, 1ms, false, FailureReason::connectionRefused,
                                ConnectionUse::none, false});
-  passTime(1s);
+  advance(1s);
   EXPECT_EQ(probes[0], 2);
 }
 
-// A hundred endpoints are unreachable. Their probes keep to the rate over all, and each is probed.
-TEST_F(EndpointHealthTest, ProbesOfAllEndpointsAreBoundedAndNoneIsLeftOut) {
-  list(100);
-  for (EndpointId endpoint = 0; endpoint < 100; ++endpoint) refused(endpoint);
+// A hundred endpoints are unreachable. Their probes together stay within the rate limit, and each is probed.
+TEST_F(EndpointHealthTest, ProbesOfAllEndpointsStayWithinTheRateLimitAndReachEachEndpoint) {
+  applyList(100);
+  for (EndpointId endpoint = 0; endpoint < 100; ++endpoint) refuseConnection(endpoint);
   EXPECT_EQ(health->unreachableCount(), 100u);
   int offered = 0;
   std::set<EndpointId> probed;
-  passTime(10s, [&] {
+  advance(10s, [&] {
     for (EndpointId endpoint = 0; endpoint < 100; ++endpoint)
-      if (reach[endpoint] == Reachability::probeOnly) {
+      if (reachability[endpoint] == Reachability::probeOnly) {
         ++offered;
         probed.insert(endpoint);
-        refused(endpoint);
-        reach[endpoint] = Reachability::unreachable;
+        refuseConnection(endpoint);
+        reachability[endpoint] = Reachability::unreachable;
       }
   });
   EXPECT_LE(offered, static_cast<int>(10 * settings.probesPerSecond) + 6);
@@ -174,151 +174,152 @@
   EXPECT_EQ(probed.size(), 100u);
 }
 
-// An endpoint refuses a connection while three are open, so it is at its limit. When these close without
-// another word, its process was ending: it is unreachable.
-TEST_F(EndpointHealthTest, RefusalWhileConnectionsAreOpenMakesSuspectUntilTheyClose) {
-  list(2);
+// An endpoint refuses a connection while three are open, so it seems to be at its limit. When these close
+// without any further event, its process has ended: the endpoint is unreachable.
+TEST_F(EndpointHealthTest, RefusalWithOpenConnectionsMakesSuspectAndTheirCloseMakesUnreachable) {
+  applyList(2);
   health->onConnections(now, 0, 3);
-  refused(0);
+  refuseConnection(0);
   EXPECT_EQ(condition(0), EndpointCondition::suspect);
   EXPECT_EQ(reason(0), ConditionReason::connectionLimit);
-  EXPECT_EQ(reach.count(0), 0u);
+  EXPECT_EQ(reachability.count(0), 0u);
   health->onConnections(now, 0, 1);
   collectChanges();
-  EXPECT_EQ(reach.count(0), 0u);
-  health->onConnections(now, 0, 0);  // it was the end of its process after all
+  EXPECT_EQ(reachability.count(0), 0u);
+  health->onConnections(now, 0, 0);  // the process has ended
   collectChanges();
-  EXPECT_EQ(reach[0], Reachability::unreachable);
+  EXPECT_EQ(reachability[0], Reachability::unreachable);
   EXPECT_EQ(condition(0), EndpointCondition::unreachable);
 }
 
-// A machine is cut off from the network and comes back. Two connect timeouts make its endpoint unreachable;
-// the process is the one it was, so there is no slow start.
+// A machine loses its network connection and regains it. Two connect timeouts make its endpoint unreachable.
+// Its process has not restarted, so there is no slow start afterwards.
 TEST_F(EndpointHealthTest, TwoConnectTimeoutsMakeUnreachableAndRecoveryHasNoSlowStart) {
-  list(2);
-  attempt(0, Outcome::served);
+  applyList(2);
+  runAttempt(0, Outcome::served);
   now += 1s;
-  silent(0);
+  timeOutConnection(0);
   EXPECT_EQ(condition(0), EndpointCondition::suspect);
   EXPECT_EQ(reason(0), ConditionReason::connectTimeout);
-  silent(0);
+  timeOutConnection(0);
   EXPECT_EQ(condition(0), EndpointCondition::unreachable);
-  EXPECT_EQ(reach[0], Reachability::unreachable);
-  passTime(400ms);
-  EXPECT_EQ(reach[0], Reachability::unreachable)
-      << "a probe costs the time for connecting, so it comes later";
-  passTime(200ms);
-  ASSERT_EQ(reach[0], Reachability::probeOnly);
-  attempt(0, Outcome::served);  // it was cut off, and has the process that it had
-  EXPECT_EQ(reach[0], Reachability::reachable);
+  EXPECT_EQ(reachability[0], Reachability::unreachable);
+  advance(400ms);
+  EXPECT_EQ(reachability[0], Reachability::unreachable)
+      << "a probe costs its request a connect timeout, so its backoff is longer";
+  advance(200ms);
+  ASSERT_EQ(reachability[0], Reachability::probeOnly);
+  runAttempt(0, Outcome::served);  // by the same process as before
+  EXPECT_EQ(reachability[0], Reachability::reachable);
   EXPECT_EQ(startedAfter[0], Timestamp{});
   EXPECT_EQ(condition(0), EndpointCondition::serving);
 }
 
-// Five connections time out, but during each the endpoint responds on another one: it is busy, not gone.
-TEST_F(EndpointHealthTest, ConnectTimeoutDuringWhichItRespondedDoesNotCount) {
-  list(2);
+// Five connections time out, but during each timeout the endpoint responds on another connection: it is busy
+// and not unreachable.
+TEST_F(EndpointHealthTest, ConnectTimeoutWithAResponseInBetweenDoesNotCount) {
+  applyList(2);
   for (int i = 0; i < 5; ++i) {
     ++lastRequest;
     health->onAttemptStarted(0, lastRequest, 0);
     const auto connecting = lastRequest;
     now += 100ms;
-    attempt(0, Outcome::served, FailureReason::unknown, ConnectionUse::reused);
+    runAttempt(0, Outcome::served, FailureReason::unknown, ConnectionUse::reused);
     now += 100ms;
     health->onAttemptEnded(now, {connecting, 0, 0, Outcome::connectFailed, 201ms, false,
                                  FailureReason::connectTimeout, ConnectionUse::none, false});
     collectChanges();
   }
-  EXPECT_EQ(reach.count(0), 0u);
+  EXPECT_EQ(reachability.count(0), 0u);
   EXPECT_EQ(condition(0), EndpointCondition::serving);
 }
 
-// --- Outcomes that say little or nothing
-// --------------------------------------------------------------------------
+// --- Outcomes that do not change the reachability ---------------------------------------------------------
 
-// Attempts fail for reasons of this gateway: no descriptor, no time left, cancelled, lost while writing.
-TEST_F(EndpointHealthTest, LocalFailuresSayNothingOfAnEndpoint) {
-  list(4);
+// Attempts fail before they are completely sent, for reasons that prove nothing about the endpoint: no
+// descriptor, attempt timeout, cancelled before send, broken while writing.
+TEST_F(EndpointHealthTest, FailuresBeforeSendDoNotAffectTheStatus) {
+  applyList(4);
   for (int round = 0; round < 20; ++round)
     for (const FailureReason reason : {FailureReason::noDescriptor, FailureReason::attemptTimeout,
                                        FailureReason::cancelledBeforeSend, FailureReason::brokenWhileWriting})
-      attempt(static_cast<EndpointId>(round % 4), Outcome::connectFailed, reason, ConnectionUse::none);
+      runAttempt(static_cast<EndpointId>(round % 4), Outcome::connectFailed, reason, ConnectionUse::none);
   for (EndpointId endpoint = 0; endpoint < 4; ++endpoint)
     EXPECT_EQ(condition(endpoint), EndpointCondition::serving) << endpoint;
-  EXPECT_TRUE(reach.empty());
+  EXPECT_TRUE(reachability.empty());
   EXPECT_FALSE(health->takeResyncRequest(now));
 }
 
-// Six probes in a row find no descriptor. Each next one starts as soon as the first did.
+// Six consecutive probes fail for lack of a descriptor. Each starts after the initial backoff.
 TEST_F(EndpointHealthTest, ProbeThatNeverLeftTheGatewayDoesNotLengthenTheBackoff) {
-  list(2);
-  refused(0);
+  applyList(2);
+  refuseConnection(0);
   for (int i = 1; i <= 6; ++i) {
-    passTime(200ms);
-    ASSERT_EQ(reach[0], Reachability::probeOnly) << i;
+    advance(200ms);
+    ASSERT_EQ(reachability[0], Reachability::probeOnly) << i;
     ASSERT_EQ(probes[0], i);
-    attempt(0, Outcome::connectFailed, FailureReason::noDescriptor, ConnectionUse::none);
-    reach[0] = Reachability::unreachable;
+    runAttempt(0, Outcome::connectFailed, FailureReason::noDescriptor, ConnectionUse::none);
+    reachability[0] = Reachability::unreachable;
   }
 }
 
-// An endpoint sends nothing but malformed responses. It stays reachable, and one that was unreachable is
-// reachable again.
-TEST_F(EndpointHealthTest, MalformedResponsesComeFromAReachableEndpoint) {
-  list(2);
-  for (int i = 0; i < 50; ++i) attempt(0, Outcome::error, FailureReason::malformedResponse);
-  attempt(0, Outcome::reset, FailureReason::malformedResponse);
+// An endpoint that sends only malformed responses stays reachable, and an unreachable endpoint that sends one
+// is reachable again.
+TEST_F(EndpointHealthTest, MalformedResponseProvesReachability) {
+  applyList(2);
+  for (int i = 0; i < 50; ++i) runAttempt(0, Outcome::error, FailureReason::malformedResponse);
+  runAttempt(0, Outcome::reset, FailureReason::malformedResponse);
   EXPECT_EQ(condition(0), EndpointCondition::serving);
-  refused(1);
-  passTime(110ms);
-  attempt(1, Outcome::error, FailureReason::malformedResponse);
-  EXPECT_EQ(reach[1], Reachability::reachable);
+  refuseConnection(1);
+  advance(110ms);
+  runAttempt(1, Outcome::error, FailureReason::malformedResponse);
+  EXPECT_EQ(reachability[1], Reachability::reachable);
 }
 
 TEST_F(EndpointHealthTest, LostConnectionOrTimeoutMakesSuspectUntilAResponse) {
-  list(2);
-  attempt(0, Outcome::reset);
+  applyList(2);
+  runAttempt(0, Outcome::reset);
   EXPECT_EQ(reason(0), ConditionReason::connectionLost);
-  attempt(0, Outcome::error);
+  runAttempt(0, Outcome::error);
   EXPECT_EQ(condition(0), EndpointCondition::serving);
-  attempt(0, Outcome::timeout, FailureReason::unknown, ConnectionUse::reused, 300ms);
+  runAttempt(0, Outcome::timeout, FailureReason::unknown, ConnectionUse::reused, 300ms);
   EXPECT_EQ(reason(0), ConditionReason::attemptTimeout);
-  EXPECT_EQ(reach.count(0), 0u) << "a suspect endpoint still gets requests";
-  attempt(0, Outcome::served);
+  EXPECT_EQ(reachability.count(0), 0u) << "a suspect endpoint still gets requests";
+  runAttempt(0, Outcome::served);
   EXPECT_EQ(condition(0), EndpointCondition::serving);
 }
 
 // --- The list ---------------------------------------------------------------------------------------------
 
-// Endpoints are drained and removed, and late responses of both arrive. They stay as the list has them, and
-// get no probes.
-TEST_F(EndpointHealthTest, NothingButTheListUndoesADrainOrARemoval) {
-  list(3);
-  refused(0);
-  update(0, EndpointState::draining);
-  update(1, EndpointState::removed);
+// Endpoints are drained and removed, and late responses of both arrive. They stay draining and removed, and
+// are not probed.
+TEST_F(EndpointHealthTest, OnlyTheListUndoesADrainOrARemoval) {
+  applyList(3);
+  refuseConnection(0);
+  updateEntry(0, EndpointState::draining);
+  updateEntry(1, EndpointState::removed);
   EXPECT_EQ(condition(0), EndpointCondition::draining);
   EXPECT_EQ(condition(1), EndpointCondition::removed);
   probes.clear();
-  passTime(10s);
+  advance(10s);
   EXPECT_EQ(probes[0], 0);
   EXPECT_EQ(probes[1], 0);
-  attempt(0, Outcome::served);  // of an attempt from before
-  attempt(1, Outcome::served);
+  runAttempt(0, Outcome::served);  // a late response
+  runAttempt(1, Outcome::served);
   EXPECT_EQ(condition(0), EndpointCondition::draining);
   EXPECT_EQ(condition(1), EndpointCondition::removed);
 }
 
-// All ten endpoints refuse connections, and then a list names ten others. The new ones have nothing against
-// them.
-TEST_F(EndpointHealthTest, AllEndpointsReplacedByOneList) {
-  list(10);
-  for (EndpointId endpoint = 0; endpoint < 10; ++endpoint) refused(endpoint);
+// All ten endpoints refuse connections, and then a list replaces them by ten others. The failures of the old
+// endpoints do not affect the new ones.
+TEST_F(EndpointHealthTest, ListThatReplacesAllEndpointsRemovesTheOldOnes) {
+  applyList(10);
+  for (EndpointId endpoint = 0; endpoint < 10; ++endpoint) refuseConnection(endpoint);
   EXPECT_EQ(health->unreachableCount(), 10u);
-  std::vector<EndpointHealth::ListedEndpoint> fresh;
+  std::vector<EndpointHealth::ListedEndpoint> replacements;
   for (EndpointId endpoint = 10; endpoint < 20; ++endpoint)
-    fresh.push_back({endpoint, EndpointState::active, now - 1s});
-  health->onList(now, EndpointListKind::replace, fresh);
+    replacements.push_back({endpoint, EndpointState::active, now - 1s});
+  health->onList(now, EndpointListKind::replace, replacements);
   collectChanges();
   EXPECT_EQ(health->activeCount(), 10u);
   EXPECT_EQ(health->unreachableCount(), 0u);
@@ -326,83 +327,83 @@
     EXPECT_EQ(condition(endpoint), EndpointCondition::removed);
   for (EndpointId endpoint = 10; endpoint < 20; ++endpoint) {
     EXPECT_EQ(condition(endpoint), EndpointCondition::slowStart);
-    EXPECT_EQ(reach.count(endpoint), 0u);
+    EXPECT_EQ(reachability.count(endpoint), 0u);
   }
-  passTime(2s);
+  advance(2s);
   EXPECT_FALSE(health->takeResyncRequest(now));
 }
 
-// A list that is behind names old starts, and an endpoint that was removed. What was seen of the endpoints
-// stays.
-TEST_F(EndpointHealthTest, ListFromThePastMakesNothingReachable) {
+// An outdated list has old start times and an endpoint that was removed since. The failures observed of the
+// endpoints remain recorded.
+TEST_F(EndpointHealthTest, OutdatedListMakesNoEndpointReachable) {
   const Timestamp start = now - 1h;
-  list(4, EndpointListKind::replace, start);
-  update(0, EndpointState::active, now - 5s);  // it has restarted
-  refused(0);
-  refused(1);
-  list(4, EndpointListKind::replace, start);  // as it was five seconds ago
+  applyList(4, EndpointListKind::replace, start);
+  updateEntry(0, EndpointState::active, now - 5s);  // it has restarted
+  refuseConnection(0);
+  refuseConnection(1);
+  applyList(4, EndpointListKind::replace, start);  // without the restart
   EXPECT_EQ(condition(0), EndpointCondition::unreachable);
   EXPECT_EQ(condition(1), EndpointCondition::unreachable);
-  EXPECT_EQ(reach[0], Reachability::unreachable);
-  // An endpoint that the old list brings back is unreachable again at its first refusal.
-  update(2, EndpointState::removed);
-  list(4, EndpointListKind::replace, start);
+  EXPECT_EQ(reachability[0], Reachability::unreachable);
+  // A removed endpoint that the outdated list names again becomes unreachable at its first refusal.
+  updateEntry(2, EndpointState::removed);
+  applyList(4, EndpointListKind::replace, start);
   EXPECT_EQ(condition(2), EndpointCondition::serving);
-  refused(2);
+  refuseConnection(2);
   EXPECT_EQ(condition(2), EndpointCondition::unreachable);
 }
 
-TEST_F(EndpointHealthTest, LaterStartOrAnotherAddressForgetsTheProcessBefore) {
-  list(2, EndpointListKind::replace, now - 1h);
-  refused(0);
-  refused(1);
-  update(0, EndpointState::active, now);
-  EXPECT_EQ(reach[0], Reachability::reachable);
+TEST_F(EndpointHealthTest, LaterStartOrNewAddressDiscardsFailuresOfThePreviousProcess) {
+  applyList(2, EndpointListKind::replace, now - 1h);
+  refuseConnection(0);
+  refuseConnection(1);
+  updateEntry(0, EndpointState::active, now);
+  EXPECT_EQ(reachability[0], Reachability::reachable);
   EXPECT_EQ(condition(0), EndpointCondition::slowStart);
   health->onAddressChanged(now, 1);
   collectChanges();
-  EXPECT_EQ(reach[1], Reachability::reachable);
+  EXPECT_EQ(reachability[1], Reachability::reachable);
   EXPECT_EQ(condition(1), EndpointCondition::serving);
 }
 
-// An unreachable endpoint is removed and its number is given to another one, which has no past.
-TEST_F(EndpointHealthTest, ForgottenNumberStartsFromNothing) {
-  list(2);
-  refused(1);
-  update(1, EndpointState::removed);
+// An unreachable endpoint is removed and its id is reused for another endpoint, which starts without records.
+TEST_F(EndpointHealthTest, ReusedIdHasNoRecordsAfterForget) {
+  applyList(2);
+  refuseConnection(1);
+  updateEntry(1, EndpointState::removed);
   health->forget(1);
   EXPECT_EQ(condition(1), EndpointCondition::removed);
-  update(1, EndpointState::active, now);  // the number is given out anew
+  updateEntry(1, EndpointState::active, now);  // the id is reused
   EXPECT_EQ(condition(1), EndpointCondition::slowStart);
   probes.clear();
-  passTime(2s);
+  advance(2s);
   EXPECT_EQ(probes[1], 0);
 }
 
-TEST_F(EndpointHealthTest, AgeOfTheListCountsFromDiscoverysLastAnswer) {
-  list(2, EndpointListKind::restored);
+TEST_F(EndpointHealthTest, ListAgeCountsFromTheLastAnswerOfDiscovery) {
+  applyList(2, EndpointListKind::restored);
   now += 5s;
-  list(0, EndpointListKind::update);
+  applyList(0, EndpointListKind::update);
   now += 3s;
   health->onList(now, EndpointListKind::unavailable, {});
   EXPECT_EQ(health->listAge(now), 3s);
 }
 
-// --- Staleness of the list
-// ------------------------------------------------------------------------------------------------
+// --- Staleness of the list --------------------------------------------------------------------------------
 
-// The list keeps an endpoint that is unreachable for a minute. Resyncs are requested at growing pauses.
-TEST_F(EndpointHealthTest, UnreachableEndpointRequestsResyncsAtGrowingPauses) {
-  list(10);
+// An endpoint stays active in the list while it is unreachable for a minute. Resyncs are requested with
+// growing pauses.
+TEST_F(EndpointHealthTest, UnreachableEndpointLeadsToResyncRequestsWithGrowingPauses) {
+  applyList(10);
   EXPECT_FALSE(health->takeResyncRequest(now));
-  refused(0);
+  refuseConnection(0);
   EXPECT_FALSE(health->takeResyncRequest(now));
   std::vector<Timestamp> requested;
-  passTime(60s, [&] {
+  advance(60s, [&] {
     if (health->takeResyncRequest(now)) requested.push_back(now);
-    if (reach[0] != Reachability::probeOnly) return;
-    refused(0);
-    reach[0] = Reachability::unreachable;
+    if (reachability[0] != Reachability::probeOnly) return;
+    refuseConnection(0);
+    reachability[0] = Reachability::unreachable;
   });
   ASSERT_GE(requested.size(), 3u);
   EXPECT_LE(requested.size(), 8u);
@@ -410,12 +411,12 @@
   EXPECT_GE(requested[2] - requested[1], requested[1] - requested[0]);
 }
 
-// One endpoint of four rejects everything: it may be draining without the list's word. When all four do there
-// is too much work, and no resync is requested.
-TEST_F(EndpointHealthTest, OverloadedEndpointRequestsAResyncUnlessMostAreOverloaded) {
-  list(4);
+// One endpoint of four rejects all requests: it may be draining without the list saying so, and a resync is
+// requested. If all four reject all requests, the cause is too much load, and no resync is requested.
+TEST_F(EndpointHealthTest, OverloadedEndpointLeadsToAResyncRequestUnlessMostAreOverloaded) {
+  applyList(4);
   const auto reject = [&](EndpointId endpoint) {
-    attempt(endpoint, Outcome::overloaded, FailureReason::unknown, ConnectionUse::reused);
+    runAttempt(endpoint, Outcome::overloaded, FailureReason::unknown, ConnectionUse::reused);
   };
   for (int i = 0; i < 10; ++i) {
     reject(0);
@@ -425,7 +426,7 @@
   EXPECT_EQ(reason(0), ConditionReason::overloaded);
   EXPECT_TRUE(health->takeResyncRequest(now));
   now += 10s;
-  attempt(0, Outcome::served);
+  runAttempt(0, Outcome::served);
   EXPECT_EQ(condition(0), EndpointCondition::serving);
   EXPECT_FALSE(health->takeResyncRequest(now));
   for (int i = 0; i < 10; ++i) {
@@ -436,10 +437,10 @@
 }
 
 TEST_F(EndpointHealthTest, FailedResyncIsRequestedAgainSooner) {
-  list(3);
-  refused(0);
+  applyList(3);
+  refuseConnection(0);
   std::vector<Timestamp> requested;
-  passTime(8s, [&] {
+  advance(8s, [&] {
     if (!health->takeResyncRequest(now)) return;
     requested.push_back(now);
     health->onResyncFailed(now);
@@ -448,16 +449,16 @@
   EXPECT_LE(requested.size(), 9u);
 }
 
-TEST_F(EndpointHealthTest, GatewaysThatSeeOneFailureRequestResyncsApart) {
+TEST_F(EndpointHealthTest, JitterSpreadsTheResyncRequestsOfGatewaysThatObserveTheSameFailure) {
   std::vector<Timestamp> requested;
   for (const double jitter : {0.1, 0.5, 0.9}) {
     now = Timestamp(24h);
     settings.jitter = jitter;
     health = std::make_unique<EndpointHealth>(settings);
-    list(3);
-    refused(0);
+    applyList(3);
+    refuseConnection(0);
     bool done = false;
-    passTime(3s, [&] {
+    advance(3s, [&] {
       if (done || !health->takeResyncRequest(now)) return;
       requested.push_back(now);
       done = true;
@@ -468,28 +469,27 @@
   EXPECT_LT(requested[1], requested[2]);
 }
 
-// --- Probing by other gateways
-// -------------------------------------------------------------------------------------------
+// --- Delegated probing ------------------------------------------------------------------------------------
 
-// Another gateway announces again and again that it probes an endpoint. This one does not probe it meanwhile,
-// but does so itself after the bound; a single announcement ends with its own term.
-TEST_F(EndpointHealthTest, DelegatedProbingEndsWithItsTermAndNeverLastsBeyondTheBound) {
+// Another gateway announces repeatedly that it probes an endpoint. This gateway does not probe the endpoint
+// until the maximum duration of a delegation has passed. A single announcement ends at its own time.
+TEST_F(EndpointHealthTest, DelegatedProbingEndsAtItsTimeAndAtTheMaximumDuration) {
   settings.jitter = 1;
   health = std::make_unique<EndpointHealth>(settings);
-  list(2);
-  attempt(0, Outcome::connectFailed, FailureReason::connectionRefused);
-  const Timestamp out = now;
-  const auto tickFor = [&](policy::Duration time) {
-    for (const Timestamp end = now + time; now < end; now += 50ms) health->onTick(now);
+  applyList(2);
+  runAttempt(0, Outcome::connectFailed, FailureReason::connectionRefused);
+  const Timestamp unreachableSince = now;
+  const auto tickFor = [&](policy::Duration duration) {
+    for (const Timestamp end = now + duration; now < end; now += 50ms) health->onTick(now);
     collectChanges();
   };
-  while (probes[0] == 0 && now < out + 60s) {
+  while (probes[0] == 0 && now < unreachableSince + 60s) {
     health->delegateProbing(now, 0, now + 5s);
     tickFor(200ms);
   }
-  EXPECT_GE(now - out, settings.delegationMaxDuration);
-  EXPECT_LE(now - out, settings.delegationMaxDuration + 1s);
-  attempt(0, Outcome::connectFailed, FailureReason::connectionRefused);
+  EXPECT_GE(now - unreachableSince, settings.delegationMaxDuration);
+  EXPECT_LE(now - unreachableSince, settings.delegationMaxDuration + 1s);
+  runAttempt(0, Outcome::connectFailed, FailureReason::connectionRefused);
   health->delegateProbing(now, 0, now + 1s);
   tickFor(900ms);
   EXPECT_EQ(probes[0], 1);
@@ -497,23 +497,23 @@
   EXPECT_EQ(probes[0], 2) << "the delegation has ended";
 }
 
-// Another gateway reports that an endpoint accepts connections: first with a finding older than this
+// Another gateway reports that an endpoint accepts connections: first with a result that is older than this
 // gateway's own failure, then with a newer one.
-TEST_F(EndpointHealthTest, RemoteProbeResultMakesReachableUnlessThisGatewaySawAFailureSince) {
-  list(2);
-  attempt(0, Outcome::connectFailed, FailureReason::connectionRefused);
-  const Timestamp refused = now;
+TEST_F(EndpointHealthTest, RemoteProbeResultMakesReachableUnlessThisGatewayFailedSince) {
+  applyList(2);
+  runAttempt(0, Outcome::connectFailed, FailureReason::connectionRefused);
+  const Timestamp refusedAt = now;
   now += 3s;
   health->onRemoteProbeResult(now, 0, 4s);
   collectChanges();
-  EXPECT_EQ(reach[0], Reachability::unreachable) << "found before it refused here";
+  EXPECT_EQ(reachability[0], Reachability::unreachable) << "older than the refusal here";
   health->onRemoteProbeResult(now, 0, 1s);
   collectChanges();
-  EXPECT_EQ(reach[0], Reachability::reachable);
-  EXPECT_EQ(startedAfter[0], refused) << "a new process";
+  EXPECT_EQ(reachability[0], Reachability::reachable);
+  EXPECT_EQ(startedAfter[0], refusedAt) << "a new process";
   health->onRemoteProbeResult(now, 1, 0s);
   health->onRemoteProbeResult(now, 77, 0s);
-  EXPECT_TRUE(health->takeChanges().empty()) << "one that is reachable, and one that is unknown";
+  EXPECT_TRUE(health->takeChanges().empty()) << "for a reachable and for an unknown endpoint";
 }
 
 }  // namespace
--- a/tests/membership/endpoint_record_test.cpp
+++ b/tests/membership/endpoint_record_test.cpp
@@ -1,4 +1,4 @@
-// The status that follows from what the sources say of one endpoint, and the names that log lines give it.
+// Tests the status that is derived from the record of one endpoint, and the names that log lines use for it.
 #include "membership/endpoint_record.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 
 constexpr Timestamp kNow{24h};
 
-EndpointRecord listed() {
+EndpointRecord listedRecord() {
   EndpointRecord record;
   record.list = {true, EndpointState::active, {}};
   return record;
@@ -25,28 +25,28 @@
 class EndpointRecordTest : public ::testing::Test {
  public:
   EndpointHealthSettings settings;
-  EndpointRecord record = listed();
+  EndpointRecord record = listedRecord();
 
   EndpointRecordTest() { settings.slowStartDuration = 9s; }
-  void expect(EndpointCondition condition, ConditionReason reason) const {
+  void expectStatus(EndpointCondition condition, ConditionReason reason) const {
     const EndpointStatus status = record.status(settings, kNow);
     EXPECT_EQ(nameOf(status.condition), nameOf(condition));
     EXPECT_EQ(nameOf(status.reason), nameOf(reason));
   }
 };
 
-TEST_F(EndpointRecordTest, WithNothingAgainstItItServes) {
-  expect(EndpointCondition::serving, ConditionReason::listed);
+TEST_F(EndpointRecordTest, ListedEndpointWithoutFailuresIsServing) {
+  expectStatus(EndpointCondition::serving, ConditionReason::listed);
 }
 
-TEST_F(EndpointRecordTest, OneThatNoListHasNamedIsRemoved) {
+TEST_F(EndpointRecordTest, EndpointThatNoListHasNamedIsRemoved) {
   record = EndpointRecord{};
-  expect(EndpointCondition::removed, ConditionReason::listUpdate);
+  expectStatus(EndpointCondition::removed, ConditionReason::listUpdate);
 }
 
-// Everything speaks against an endpoint at once. As each source falls silent, the gravest that is left gives
-// the status.
-TEST_F(EndpointRecordTest, TheGravestSourceGivesTheStatus) {
+// All findings apply to an endpoint at once and are cleared one by one. The most severe one that is left
+// always determines the status.
+TEST_F(EndpointRecordTest, MostSevereFindingDeterminesTheStatus) {
   record.list.state = EndpointState::removed;
   record.list.startedAt = kNow - 1s;
   record.connections.atLimit = true;
@@ -58,53 +58,53 @@
   record.responses.rejectingSince = kNow - 1s;
   record.reachability.unreachable = true;
   record.reachability.reason = ConditionReason::connectTimeout;
-  expect(EndpointCondition::removed, ConditionReason::listUpdate);
+  expectStatus(EndpointCondition::removed, ConditionReason::listUpdate);
   record.list.state = EndpointState::draining;
-  expect(EndpointCondition::draining, ConditionReason::listUpdate);
+  expectStatus(EndpointCondition::draining, ConditionReason::listUpdate);
   record.list.state = EndpointState::active;
-  expect(EndpointCondition::unreachable, ConditionReason::connectTimeout);
+  expectStatus(EndpointCondition::unreachable, ConditionReason::connectTimeout);
   record.reachability.unreachable = false;
-  expect(EndpointCondition::suspect, ConditionReason::connectionLimit);
+  expectStatus(EndpointCondition::suspect, ConditionReason::connectionLimit);
   record.connections.atLimit = false;
-  expect(EndpointCondition::suspect, ConditionReason::connectTimeout);
+  expectStatus(EndpointCondition::suspect, ConditionReason::connectTimeout);
   record.connections.connectTimeouts = 0;
-  expect(EndpointCondition::suspect, ConditionReason::connectionLost);
+  expectStatus(EndpointCondition::suspect, ConditionReason::connectionLost);
   record.responses.connectionLostAt = kNow - 3s;
-  expect(EndpointCondition::suspect, ConditionReason::attemptTimeout);
+  expectStatus(EndpointCondition::suspect, ConditionReason::attemptTimeout);
   record.responses.timedOutAt = kNow - 3s;
-  expect(EndpointCondition::suspect, ConditionReason::overloaded);
+  expectStatus(EndpointCondition::suspect, ConditionReason::overloaded);
   record.responses.rejections = 0;
-  expect(EndpointCondition::slowStart, ConditionReason::justStarted);
+  expectStatus(EndpointCondition::slowStart, ConditionReason::justStarted);
   record.list.startedAt = kNow - 9s;
-  expect(EndpointCondition::serving, ConditionReason::listed);
+  expectStatus(EndpointCondition::serving, ConditionReason::listed);
 }
 
-TEST_F(EndpointRecordTest, AStartThatWasSeenBeginsSlowStartToo) {
+TEST_F(EndpointRecordTest, ObservedRestartBeginsSlowStart) {
   record.list.startedAt = kNow - 1h;
   record.reachability.startedAfter = kNow - 1s;
-  expect(EndpointCondition::slowStart, ConditionReason::justStarted);
+  expectStatus(EndpointCondition::slowStart, ConditionReason::justStarted);
 }
 
-TEST_F(EndpointRecordTest, RejectionsOverloadItByNumberAndTime) {
+TEST_F(EndpointRecordTest, OverloadedRequiresEnoughRejectionsOverEnoughTime) {
   ResponseRecord responses;
   for (int i = 0; i < settings.overloadedStreak - 1; ++i) responses.onResponse(kNow - 1s, true);
-  EXPECT_FALSE(responses.overloaded(settings, kNow)) << "too few";
+  EXPECT_FALSE(responses.overloaded(settings, kNow)) << "too few rejections";
   responses.onResponse(kNow - 1s, true);
-  EXPECT_FALSE(responses.overloaded(settings, kNow - 1s)) << "a peak";
+  EXPECT_FALSE(responses.overloaded(settings, kNow - 1s)) << "a short load peak";
   EXPECT_TRUE(responses.overloaded(settings, kNow));
   responses.onResponse(kNow, false);
-  EXPECT_FALSE(responses.overloaded(settings, kNow)) << "it served";
+  EXPECT_FALSE(responses.overloaded(settings, kNow)) << "the last request was served";
   responses.onResponse(kNow, true);
-  EXPECT_EQ(responses.rejectingSince, kNow) << "a new row";
+  EXPECT_EQ(responses.rejectingSince, kNow) << "the count starts again";
 }
 
-// An unreachable endpoint whose probe is due; each condition that forbids it is set in turn.
-TEST_F(EndpointRecordTest, ProbeIsDueUnlessOneThingForbidsIt) {
+// The probe of an unreachable endpoint is due; each condition that prevents it is then set on its own.
+TEST_F(EndpointRecordTest, ProbeIsDueUnlessAnyConditionPreventsIt) {
   record.reachability.unreachable = true;
   record.reachability.reported = policy::Reachability::unreachable;
   record.reachability.probes.dueAt = kNow;
   EXPECT_TRUE(record.probeDue(kNow));
-  EXPECT_FALSE(record.probeDue(kNow - 1ns)) << "its backoff lasts";
+  EXPECT_FALSE(record.probeDue(kNow - 1ns)) << "the backoff has not ended";
   const EndpointRecord due = record;
   const std::vector<std::pair<const char*, std::function<void()>>> obstacles = {
       {"reachable", [this] { record.reachability.unreachable = false; }},
@@ -122,8 +122,8 @@
   }
 }
 
-// Operators read these words in logs and on docs/operators/membership.md.
-TEST(EndpointStatusTest, NamesAreThoseOfTheOperatorsPage) {
+// Operators search logs for these names; docs/operators/membership.md documents them.
+TEST(EndpointStatusTest, NamesAreThoseOnTheOperatorsPage) {
   const std::vector<std::pair<EndpointCondition, const char*>> conditions = {
       {EndpointCondition::serving, "serving"},   {EndpointCondition::slowStart, "cold"},
       {EndpointCondition::suspect, "suspect"},   {EndpointCondition::unreachable, "unreachable"},
--- a/tests/membership/probe_scheduler_test.cpp
+++ b/tests/membership/probe_scheduler_test.cpp
@@ -1,4 +1,5 @@
-// When unreachable endpoints are probed: the rate over all, the backoff of one, and who comes next.
+// Tests the schedule of probes: the rate limit over all endpoints, the backoff of one endpoint, and the order
+// in which endpoints are chosen.
 #include "membership/probe_scheduler.hpp"
 
 #include <gtest/gtest.h>
@@ -14,19 +15,20 @@
 
 constexpr Timestamp kStart{24h};
 
+// Takes all available tokens and returns their number.
 int takeAll(ProbeRateLimiter& limiter) {
   int taken = 0;
   for (; limiter.hasToken(); ++taken) limiter.takeToken();
   return taken;
 }
 
-TEST(ProbeRateLimiterTest, BeginsWithOneProbe) {
+TEST(ProbeRateLimiterTest, StartsWithOneToken) {
   ProbeRateLimiter limiter(20);
   limiter.refill(kStart);
   EXPECT_EQ(takeAll(limiter), 1);
 }
 
-TEST(ProbeRateLimiterTest, RefillsByTheTimeThatPassed) {
+TEST(ProbeRateLimiterTest, RefillAddsTokensForTheElapsedTime) {
   ProbeRateLimiter limiter(20);
   limiter.refill(kStart);
   takeAll(limiter);
@@ -38,7 +40,7 @@
   EXPECT_EQ(takeAll(limiter), 0) << "no time has passed";
 }
 
-TEST(ProbeRateLimiterTest, APauseSavesABurstOfFour) {
+TEST(ProbeRateLimiterTest, BurstAfterAPauseIsLimitedToFour) {
   ProbeRateLimiter limiter(20);
   limiter.refill(kStart);
   limiter.refill(kStart + 1h);
@@ -57,7 +59,7 @@
   EXPECT_EQ(refused(1000), 800ms);
 }
 
-TEST(ProbeBackoffTest, EndpointWhoseConnectionsTimeOutIsProbedLessOften) {
+TEST(ProbeBackoffTest, BackoffAfterConnectTimeoutsIsLonger) {
   const EndpointHealthSettings settings;
   EXPECT_EQ(probeBackoff(settings, ConditionReason::connectTimeout, 0), 500ms);
   EXPECT_EQ(probeBackoff(settings, ConditionReason::connectTimeout, 2), 2s);
@@ -75,21 +77,22 @@
   }
 };
 
-TEST_F(ProbeSchedulerTest, ChoosesOnlyWhatIsDue) {
+TEST_F(ProbeSchedulerTest, ChoosesOnlyEndpointsThatAreDue) {
   EXPECT_TRUE(choose(3, {}).empty());
   EXPECT_EQ(choose(3, {1}), std::vector<EndpointId>{1});
   EXPECT_EQ(scheduler.probesStarted(), 1u);
 }
 
-TEST_F(ProbeSchedulerTest, NobodyToProbeTakesNoToken) {
+TEST_F(ProbeSchedulerTest, NoTokenIsTakenIfNoEndpointIsDue) {
   choose(3, {});
   now += 1h;
   EXPECT_TRUE(choose(3, {}).empty());
   EXPECT_EQ(choose(10, {0, 1, 2, 3, 4, 5}).size(), 4u) << "the burst";
 }
 
-// Five endpoints are always due and the rate allows one at a time: each is chosen before any is chosen again.
-TEST_F(ProbeSchedulerTest, RoundsBeginBehindTheLastOneChosen) {
+// Five endpoints are always due and the rate limit allows one at a time: each is chosen before any is chosen
+// again.
+TEST_F(ProbeSchedulerTest, EachCallStartsAfterTheLastChosenEndpoint) {
   std::vector<EndpointId> order;
   for (int i = 0; i < 10; ++i) {
     for (const EndpointId endpoint : choose(5, {0, 1, 2, 3, 4})) order.push_back(endpoint);
@@ -98,8 +101,8 @@
   EXPECT_EQ(order, (std::vector<EndpointId>{0, 1, 2, 3, 4, 0, 1, 2, 3, 4}));
 }
 
-// The last endpoint of all was chosen, and then the table has become shorter, or empty.
-TEST_F(ProbeSchedulerTest, FewerEndpointsThanBeforeAreNoProblem) {
+// The last endpoint was chosen, and then the number of endpoints decreases, also to zero.
+TEST_F(ProbeSchedulerTest, NumberOfEndpointsMayDecrease) {
   EXPECT_EQ(choose(9, {8}), std::vector<EndpointId>{8});
   now += 1s;
   EXPECT_TRUE(choose(0, {}).empty());
