--- a/tests/membership/upstream_consistency_test.cpp
+++ b/tests/membership/upstream_consistency_test.cpp
@@ -1,9 +1,9 @@
-// Upstream, endpoint health and decision module together, over loopback sockets, with random endpoints and
-// random faults: after every step their state agrees with what the endpoints see. A seed reproduces the
-// choices.
+// Tests the upstream, the endpoint health and the load balancer together, over loopback sockets, with random
+// events and faults: after each step their state agrees with that of the endpoints. The random choices are
+// reproducible by the seed.
 //
-// After each step the event loop runs until both sides agree, so only the kernel's delivery is waited for,
-// and never a fixed time.
+// After each step the event loop runs until both sides agree, so the test waits only for the kernel to
+// deliver and never for a fixed time.
 #include <random>
 #include <set>
 
@@ -24,7 +24,8 @@
 constexpr int kEndpointCount = 5;
 constexpr std::size_t kMaxConnections = 24;  // few enough that the upstream runs out of them
 
-// The process of an endpoint: listens or not, and holds its requests until the test answers them.
+// The process of an endpoint, which the test can stop and restart. Its requests wait until the test answers
+// them.
 class EndpointProcess {
  public:
   EndpointProcess(asio::io_context& io, int number)
@@ -41,23 +42,27 @@
     accept();
   }
   bool listening() const { return acceptor_.has_value(); }
-  // Its connections are reset, and new ones are refused.
-  void die() {
+  // Resets all connections and refuses new ones.
+  void terminate() {
     acceptor_.reset();
     for (auto& connection : connections) connection->reset();
     prune();
   }
+  // Removes closed connections.
   void prune() {
-    std::erase_if(connections,
-                  [](const auto& connection) { return !connection->open || connection->closedByPeer; });
-    std::erase_if(held, [](const auto& connection) { return !connection->open || connection->closedByPeer; });
+    const auto isClosed = [](const auto& connection) {
+      return !connection->open || connection->closedByPeer;
+    };
+    std::erase_if(connections, isClosed);
+    std::erase_if(unanswered, isClosed);
   }
   std::size_t openConnections() {
     prune();
     return connections.size();
   }
 
-  std::vector<std::shared_ptr<PeerConnection>> connections, held;
+  std::vector<std::shared_ptr<PeerConnection>> connections;
+  std::vector<std::shared_ptr<PeerConnection>> unanswered;  // those of them with an unanswered request
 
  private:
   void accept() {
@@ -65,14 +70,14 @@
       if (ec) return;
       connections.push_back(std::make_shared<PeerConnection>(
           std::move(socket),
-          [this](PeerConnection& connection) { held.push_back(connection.shared_from_this()); }));
+          [this](PeerConnection& connection) { unanswered.push_back(connection.shared_from_this()); }));
       connections.back()->read();
       accept();
     });
   }
 
   asio::io_context& io_;
-  const ReservedPort port_;  // it comes back to its own
+  const ReservedPort port_;  // reserved, so that listen() gets the same port again after terminate()
   std::optional<tcp::acceptor> acceptor_;
 
  public:
@@ -92,16 +97,16 @@
     void log(const std::string&) override {}
   };
   struct Sink final : ReplySink {
-    std::map<std::uint64_t, int> replies;
-    void onReply(std::uint64_t ticket, Reply) override { ++replies[ticket]; }
+    std::map<std::uint64_t, int> replies;  // number of replies by frontend token
+    void onReply(std::uint64_t frontendToken, Reply) override { ++replies[frontendToken]; }
   };
 
   std::mt19937 random{GetParam()};
   Clock clock;
   Sink sink;
-  std::vector<std::unique_ptr<EndpointProcess>> hosts;
+  std::vector<std::unique_ptr<EndpointProcess>> processes;
   std::vector<EndpointState> states = std::vector<EndpointState>(kEndpointCount, EndpointState::active);
-  std::vector<std::string> names;  // as the list has them: an endpoint may come back under a new one
+  std::vector<std::string> names;  // in the list; a process gets a new name when its endpoint is replaced
   std::unique_ptr<HttpUpstream> upstream;
   std::unique_ptr<Engine> engine;
   std::uint64_t calls = 0;
@@ -137,8 +142,8 @@
       engine->connectionsChanged(endpoint, current);
     });
     for (int i = 0; i < kEndpointCount; ++i) {
-      hosts.push_back(std::make_unique<EndpointProcess>(io, i));
-      names.push_back(hosts.back()->uid);
+      processes.push_back(std::make_unique<EndpointProcess>(io, i));
+      names.push_back(processes.back()->uid);
     }
     sendList();
   }
@@ -158,13 +163,16 @@
       upstream->removeAllEndpoints();
       for (int i = 0; i < kEndpointCount; ++i)
         if (const EndpointId id = idOf(i); id != policy::kNone)
-          upstream->updateEndpoint(id, hosts[static_cast<std::size_t>(i)]->endpoint,
+          upstream->updateEndpoint(id, processes[static_cast<std::size_t>(i)]->endpoint,
                                    states[static_cast<std::size_t>(i)] == EndpointState::active);
     });
   }
-  EndpointId idOf(int host) const { return engine->findEndpoint(names[static_cast<std::size_t>(host)]); }
+  // The id of the endpoint with the name of a process; kNone if the load balancer does not know it.
+  EndpointId idOf(int process) const {
+    return engine->findEndpoint(names[static_cast<std::size_t>(process)]);
+  }
 
-  void call() {
+  void sendCall() {
     Call call;
     call.externalId = "c" + std::to_string(++calls);
     call.attributes.classIndex = static_cast<std::uint32_t>(below(2));
@@ -175,52 +183,57 @@
     engine->accept(std::move(call), sink, calls);
   }
 
+  // One random event, at a random process.
   void step() {
     const auto i = static_cast<std::size_t>(below(kEndpointCount));
-    EndpointProcess& host = *hosts[i];
-    host.prune();
-    const int what = below(100);
-    if (what < 45) return call();
-    if (what < 75) return answer(host);
-    if (what < 80) return host.die();
-    if (what < 88) {
-      if (!host.listening()) host.listen();
+    EndpointProcess& process = *processes[i];
+    process.prune();
+    const int percent = below(100);
+    if (percent < 45) return sendCall();
+    if (percent < 75) return answer(process);
+    if (percent < 80) return process.terminate();
+    if (percent < 88) {
+      if (!process.listening()) process.listen();
       return;
     }
-    if (what < 91) {  // the list: drained, or serving again
+    if (percent < 91) {  // drained by the list, or active again
       states[i] = states[i] == EndpointState::active ? EndpointState::draining : EndpointState::active;
       return sendList();
     }
-    if (what < 93) {  // replaced by another one, at the same address
-      names[i] = host.uid + "-" + std::to_string(++generation);
+    if (percent < 93) {  // replaced by another endpoint at the same address
+      names[i] = process.uid + "-" + std::to_string(++generation);
       states[i] = EndpointState::active;
       return sendList();
     }
-    if (what < 96) {  // closes what is idle
-      for (auto& connection : host.connections)
-        if (std::find(host.held.begin(), host.held.end(), connection) == host.held.end()) connection->close();
-      return host.prune();
+    if (percent < 96) {  // closes its idle connections
+      for (auto& connection : process.connections)
+        if (std::find(process.unanswered.begin(), process.unanswered.end(), connection) ==
+            process.unanswered.end())
+          connection->close();
+      return process.prune();
     }
     clock.at += std::chrono::milliseconds(20 + below(300));
     engine->wake();
   }
 
-  void answer(EndpointProcess& host) {
-    if (host.held.empty()) return;
-    const auto connection = host.held[static_cast<std::size_t>(below(static_cast<int>(host.held.size())))];
-    std::erase(host.held, connection);
+  // Answers a random request of the process in a random way.
+  void answer(EndpointProcess& process) {
+    if (process.unanswered.empty()) return;
+    const int index = below(static_cast<int>(process.unanswered.size()));
+    const auto connection = process.unanswered[static_cast<std::size_t>(index)];
+    std::erase(process.unanswered, connection);
     switch (below(8)) {
       case 0: return connection->reply(answerText(503, "X-Not-Run: 1\r\n", ""));
       case 1: return connection->reply(answerText(500, "", "no"));
       case 2: return connection->reply("garbage of no protocol\r\n\r\n");
-      case 3: connection->reset(); return host.prune();
+      case 3: connection->reset(); return process.prune();
       case 4:
         return connection->reply(answerText(200, "Connection: close\r\n", connection->request.body()), true);
       default: return connection->reply(answerText(200, "", connection->request.body()));
     }
   }
 
-  // The state of each side as text, for a difference that is reported.
+  // The state of the load balancer and of the upstream as text, for the message of a failure.
   std::string describe() const {
     std::string text;
     for (int i = 0; i < kEndpointCount; ++i) {
@@ -237,37 +250,38 @@
     return text + "calls " + std::to_string(engine->activeCalls()) + "\n";
   }
 
-  // Connections are compared in sum: those of an endpoint that was renamed belong to no listed one.
+  // Whether the state of the engine and the upstream agrees with that of the processes. Connections are
+  // compared in total, since those of a replaced endpoint belong to no listed one.
   bool agrees() {
-    std::size_t open = 0, held = 0, inFlight = 0;
+    std::size_t open = 0, unanswered = 0, inFlight = 0;
     for (int i = 0; i < kEndpointCount; ++i) {
-      open += hosts[static_cast<std::size_t>(i)]->openConnections();
-      held += hosts[static_cast<std::size_t>(i)]->held.size();
+      open += processes[static_cast<std::size_t>(i)]->openConnections();
+      unanswered += processes[static_cast<std::size_t>(i)]->unanswered.size();
       const EndpointId id = idOf(i);
       if (id == policy::kNone) continue;
       const EndpointConnections connections = upstream->connectionsOf(id);
       if (connections.open != engine->loadBalancer().openConnections(id)) return false;
-      if (connections.open != connections.established) return false;  // one is still connecting
+      if (connections.open != connections.established) return false;  // a connection is still being opened
       inFlight += engine->loadBalancer().attemptsInFlight(id);
     }
-    return open == upstream->connectionCount() && held >= inFlight;
+    return open == upstream->connectionCount() && unanswered >= inFlight;
   }
 };
 
-// 300 random steps: calls, answers of every kind, deaths, restarts, drains, replacements. In the end all
-// endpoints serve again.
-TEST_P(UpstreamConsistencyTest, StateAgreesWithWhatTheEndpointsSee) {
+// 300 random steps: calls, answers of every kind, terminations, restarts, drains, replacements. Afterwards
+// all endpoints serve again.
+TEST_P(UpstreamConsistencyTest, StateAgreesWithThatOfTheEndpoints) {
   for (int i = 0; i < kSteps; ++i) {
     step();
     ASSERT_TRUE(until([&] { return agrees(); })) << "step " << i << "\n" << describe();
     for (int index = 0; index < kEndpointCount; ++index) {
       const EndpointId id = idOf(index);
       if (id == policy::kNone) continue;
-      const auto at = static_cast<std::size_t>(index);
+      const EndpointState state = states[static_cast<std::size_t>(index)];
       const EndpointStatus status = engine->endpointHealth().statusOf(id, clock.at);
-      ASSERT_EQ(status.condition == EndpointCondition::draining, states[at] == EndpointState::draining)
+      ASSERT_EQ(status.condition == EndpointCondition::draining, state == EndpointState::draining)
           << "step " << i;
-      // An unreachable one has accepted no connection since its refusal but that of a probe.
+      // Since its refusal an unreachable endpoint has accepted at most the connection of a probe.
       if (status.condition == EndpointCondition::unreachable) {
         ASSERT_LE(upstream->connectionsOf(id).established,
                   std::min(engine->loadBalancer().attemptsInFlight(id), 1u))
@@ -275,18 +289,20 @@
       }
     }
     ASSERT_EQ(engine->violations(), 0u);
-    for (const auto& [ticket, count] : sink.replies) ASSERT_EQ(count, 1) << "call " << ticket;
+    for (const auto& [frontendToken, count] : sink.replies) ASSERT_EQ(count, 1) << "call " << frontendToken;
   }
-  // In the end all endpoints serve: each is found again by probes alone, and each call has exactly one reply.
+  // All endpoints serve again: probes alone find each of them, and each call gets exactly one reply.
   for (int i = 0; i < kEndpointCount; ++i) {
     states[static_cast<std::size_t>(i)] = EndpointState::active;
-    if (!hosts[static_cast<std::size_t>(i)]->listening()) hosts[static_cast<std::size_t>(i)]->listen();
+    if (!processes[static_cast<std::size_t>(i)]->listening())
+      processes[static_cast<std::size_t>(i)]->listen();
   }
   sendList();
   std::set<int> reached;
   const auto answerAll = [&] {
     for (int index = 0; index < kEndpointCount; ++index)
-      for (const auto& connection : std::exchange(hosts[static_cast<std::size_t>(index)]->held, {})) {
+      for (const auto& connection :
+           std::exchange(processes[static_cast<std::size_t>(index)]->unanswered, {})) {
         reached.insert(index);
         connection->reply(answerText(200, "", connection->request.body()));
       }
@@ -296,7 +312,7 @@
        ++i) {
     clock.at += 20ms;
     engine->wake();
-    call();
+    sendCall();
     ASSERT_TRUE(until([&] {
       answerAll();
       return engine->activeCalls() == 0;
@@ -305,7 +321,7 @@
   EXPECT_EQ(reached.size(), static_cast<std::size_t>(kEndpointCount));
   EXPECT_EQ(engine->endpointHealth().unreachableCount(), 0u);
   EXPECT_EQ(sink.replies.size(), calls);
-  for (const auto& [ticket, count] : sink.replies) EXPECT_EQ(count, 1) << "call " << ticket;
+  for (const auto& [frontendToken, count] : sink.replies) EXPECT_EQ(count, 1) << "call " << frontendToken;
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, UpstreamConsistencyTest, ::testing::Range(1u, 41u));
--- a/tests/membership/upstream_report_test.cpp
+++ b/tests/membership/upstream_report_test.cpp
@@ -1,6 +1,6 @@
-// What an upstream reports of the end of an attempt, for both protocols, over loopback sockets: why a
-// connection failed, which connection carried the attempt, whether it was kept, and each change of their
-// number.
+// Tests what an upstream reports at the end of an attempt, for both protocols, over loopback sockets: why a
+// connection failed, whether the attempt used a new connection, whether the connection stays open, and each
+// change of the number of connections.
 #include <deque>
 
 #include "http/upstream.hpp"
@@ -27,10 +27,12 @@
   std::unique_ptr<EndpointUpstream> upstream;
   std::deque<AttemptOutcome> outcomes;
   std::deque<Call> calls;
-  std::vector<EndpointConnections> reported;
+  std::vector<EndpointConnections> reported;  // each reported change of the number of connections
   CallId lastCall = 0;
 
-  std::chrono::milliseconds quiet = 5ms;  // after an answer, over HTTP: the connection is not reused before
+  std::chrono::milliseconds quiet = 5ms;  // HTTP: time after an answer before the connection is reused
+
+  // Creates the upstream; `connections` is the limit of all connections together.
 
   void create(std::size_t connections = 10, std::chrono::milliseconds connectTimeout = 60s) {
     const auto ended = [this](AttemptOutcome outcome) { outcomes.push_back(std::move(outcome)); };
@@ -53,8 +55,9 @@
       reported.push_back(current);
     });
   }
-  AttemptKey send(const AttemptTimeouts& limits = Duration(60s), std::size_t bodyBytes = 0) {
-    calls.emplace_back();  // each lives as long as its attempt
+  // Starts an attempt to endpoint 1.
+  AttemptKey send(const AttemptTimeouts& timeouts = Duration(60s), std::size_t bodyBytes = 0) {
+    calls.emplace_back();  // a call must stay valid until its attempt has ended
     Call& call = calls.back();
     call.externalId = "c" + std::to_string(++lastCall);
     call.message.operation = "read";
@@ -64,7 +67,7 @@
       call.message.verb = "POST";
       call.message.body = "[\"" + std::string(bodyBytes, 'x') + "\"]";
     }
-    upstream->start({lastCall, 0}, 1, call, limits);
+    upstream->start({lastCall, 0}, 1, call, timeouts);
     return {lastCall, 0};
   }
   AttemptOutcome nextOutcome() {
@@ -76,10 +79,11 @@
   }
   EndpointConnections connections() const { return upstream->connectionsOf(1); }
 
-  // An endpoint of either protocol that serves all, or answers with `rawAnswer` if that is set.
   std::unique_ptr<Peer> httpPeer;
   std::unique_ptr<Worker> jsonRpcPeer;
   std::string rawAnswer;
+  // Starts an endpoint of the tested protocol that serves all requests, or answers with `rawAnswer` if that
+  // is not empty. Returns its address.
   tcp::endpoint serve() {
     if (!GetParam().jsonRpc) {
       httpPeer = std::make_unique<Peer>(io, [this](PeerConnection& connection) {
@@ -95,10 +99,10 @@
   }
 };
 
-TEST_P(UpstreamReportTest, ResponseNamesItsConnectionAndThatItWasKept) {
+TEST_P(UpstreamReportTest, OutcomeReportsNewOrReusedConnectionAndThatItStaysOpen) {
   create();
   upstream->updateEndpoint(1, serve(), true);
-  ASSERT_EQ(reported.size(), 1u) << "also that there are none";
+  ASSERT_EQ(reported.size(), 1u) << "reported also for a new endpoint without connections";
   send();
   AttemptOutcome outcome = nextOutcome();
   EXPECT_EQ(outcome.outcome, Outcome::served);
@@ -115,10 +119,10 @@
   EXPECT_EQ(reported.back().open, 0u);
 }
 
-TEST_P(UpstreamReportTest, RefusalIsReportedAsRefused) {
+TEST_P(UpstreamReportTest, RefusedConnectionIsReportedAsRefused) {
   create();
-  const ReservedPort nobody(io);
-  upstream->updateEndpoint(1, nobody.endpoint, true);
+  const ReservedPort unusedPort(io);
+  upstream->updateEndpoint(1, unusedPort.endpoint, true);
   send();
   const AttemptOutcome outcome = nextOutcome();
   EXPECT_EQ(outcome.outcome, Outcome::connectFailed);
@@ -128,7 +132,7 @@
   EXPECT_EQ(connections().open, 0u);
 }
 
-TEST_P(UpstreamReportTest, ConnectionThatDoesNotComeUpInItsTimeIsAConnectTimeout) {
+TEST_P(UpstreamReportTest, ConnectionNotEstablishedInTimeIsAConnectTimeout) {
   FullListener full(io);
   create(10, 80ms);
   upstream->updateEndpoint(1, full.endpoint, true);
@@ -140,7 +144,7 @@
   EXPECT_EQ(connections().open, 0u);
 }
 
-TEST_P(UpstreamReportTest, AttemptThatEndsBeforeItsConnectTimeoutSaysNothingOfTheEndpoint) {
+TEST_P(UpstreamReportTest, AttemptThatEndsBeforeTheConnectTimeoutIsAnAttemptTimeout) {
   FullListener full(io);
   create();
   upstream->updateEndpoint(1, full.endpoint, true);
@@ -151,7 +155,7 @@
   EXPECT_EQ(outcome.failureReason, FailureReason::attemptTimeout);
 }
 
-TEST_P(UpstreamReportTest, WithoutADescriptorNoConnectionIsTried) {
+TEST_P(UpstreamReportTest, WithoutADescriptorNoConnectionIsOpened) {
   create(0);
   upstream->updateEndpoint(1, serve(), true);
   send();
@@ -162,7 +166,7 @@
   EXPECT_EQ(connections().open, 0u);
 }
 
-// An endpoint is drained while an attempt to it connects. Nothing of the attempt may reach it any more.
+// An endpoint is drained while an attempt to it is connecting. No byte of the attempt may reach it.
 TEST_P(UpstreamReportTest, AttemptThatConnectsWhenItsEndpointIsDrainedIsNotSent) {
   FullListener full(io);
   create();
@@ -172,8 +176,9 @@
   EXPECT_EQ(connections().open, 1u);
   EXPECT_EQ(connections().established, 0u);
   upstream->updateEndpoint(1, full.endpoint, false);
-  // Over JSON-RPC at once, so its connection may never come up; over HTTP when that does.
-  const std::size_t least = GetParam().jsonRpc ? 1 : 2;
+  // JSON-RPC ends the attempt at once, so its connection may never be established; HTTP ends it when the
+  // connection is established.
+  const std::size_t minAccepted = GetParam().jsonRpc ? 1 : 2;
   if (GetParam().jsonRpc) ASSERT_TRUE(until([&] { return !outcomes.empty(); }));
   full.acceptAll();
   const AttemptOutcome outcome = nextOutcome();
@@ -181,38 +186,39 @@
   EXPECT_EQ(outcome.failureReason, FailureReason::cancelledBeforeSend);
   EXPECT_EQ(connections().open, 0u);
   full.dropFillers();
-  ASSERT_TRUE(until([&] { return full.taken.size() >= least && full.allEnded(); }));
+  ASSERT_TRUE(until([&] { return full.taken.size() >= minAccepted && full.allEnded(); }));
   EXPECT_EQ(full.received(), 0u);
 }
 
-// An endpoint gets another address while an attempt to it connects. What is at the old address is not this
-// endpoint any more.
-TEST_P(UpstreamReportTest, AttemptThatConnectsWhenItsEndpointMovesIsNotSent) {
+// An endpoint gets another address while an attempt to it is connecting. The process at the old address is
+// not this endpoint any more.
+TEST_P(UpstreamReportTest, AttemptThatConnectsWhenItsEndpointChangesAddressIsNotSent) {
   FullListener full(io);
   create();
   upstream->updateEndpoint(1, full.endpoint, true);
   ASSERT_TRUE(until([&] { return full.filled > 0; }));
   send();
   EXPECT_TRUE(upstream->updateEndpoint(1, serve(), true));
-  const std::size_t least = GetParam().jsonRpc ? 1 : 2;
+  const std::size_t minAccepted = GetParam().jsonRpc ? 1 : 2;
   if (GetParam().jsonRpc) ASSERT_TRUE(until([&] { return !outcomes.empty(); }));
   full.acceptAll();
   const AttemptOutcome outcome = nextOutcome();
   EXPECT_EQ(outcome.outcome, Outcome::connectFailed);
   EXPECT_EQ(outcome.failureReason, FailureReason::cancelledBeforeSend);
   full.dropFillers();
-  ASSERT_TRUE(until([&] { return full.taken.size() >= least && full.allEnded(); }));
+  ASSERT_TRUE(until([&] { return full.taken.size() >= minAccepted && full.allEnded(); }));
   EXPECT_EQ(full.received(), 0u);
   send();
   EXPECT_EQ(nextOutcome().outcome, Outcome::served) << "at the new address";
 }
 
-// --- What comes after a response --------------------------------------------------------------------------
+// --- Reuse of a connection after a response ---------------------------------------------------------------
 
-// An endpoint answers one call twice. Over HTTP nothing says which call a response belongs to, so nothing is
-// written for a quiet time. Over JSON-RPC the id says it belongs to no open call.
-TEST_P(UpstreamReportTest, SecondResponseIsNeverTakenForThatToTheNextCall) {
-  if (GetParam().jsonRpc) return;  // EndTheCallsAsTheTableSays has it
+// An endpoint answers one call twice. An HTTP response does not identify its call, so nothing is written to
+// the connection during a quiet time after each response. A JSON-RPC response has an id, which then belongs
+// to no open call.
+TEST_P(UpstreamReportTest, SecondResponseIsNeverTakenForTheAnswerToTheNextCall) {
+  if (GetParam().jsonRpc) return;  // tested by EndTheCallsAsTheTableSays
   quiet = 600s;
   create();
   upstream->updateEndpoint(1, serve(), true);
@@ -229,9 +235,9 @@
   EXPECT_EQ(nextOutcome().outcome, Outcome::served) << "on another connection";
 }
 
-// An attempt waits for its connection's quiet time and ends in each way meanwhile. Nothing of it reached the
-// endpoint.
-TEST_P(UpstreamReportTest, AttemptMayEndInAnyWayWhileItsConnectionIsQuiet) {
+// An attempt that waits for the end of its connection's quiet time ends in each possible way. No byte of it
+// reaches the endpoint.
+TEST_P(UpstreamReportTest, AttemptThatEndsDuringTheQuietTimeOfItsConnectionIsNotSent) {
   if (GetParam().jsonRpc) return;
   quiet = 600s;
   for (const int way : {0, 1, 2, 3, 4, 5}) {
@@ -250,10 +256,10 @@
     if (way == 2) httpPeer->connections.front()->close();
     if (way == 3) httpPeer->connections.front()->reset();
     if (way >= 4) {
-      // The endpoint is drained, or moves: noticed when the attempt would be written, so with a shorter quiet
-      // time.
+      // The endpoint is drained, or gets another address. The upstream notices this when it would write the
+      // attempt, so the quiet time is shorter here.
       HttpUpstream::Limits limits;
-      limits.quiet = 1s;  // long enough for the change to come within it
+      limits.quiet = 1s;  // long enough for the change to happen within it
       limits.connectTimeout = 60s;
       static_cast<HttpUpstream&>(*upstream).setLimits(limits);
       upstream->cancelIfUnsent(key);
@@ -264,11 +270,11 @@
       if (way == 4) upstream->updateEndpoint(1, httpPeer->endpoint, false);
       else upstream->updateEndpoint(1, loopback(9), true);
     }
-    const std::size_t before = httpPeer->requests.size();
+    const std::size_t requestsBefore = httpPeer->requests.size();
     const AttemptOutcome outcome = nextOutcome();
     EXPECT_EQ(outcome.outcome, expected);
     if (way >= 4) EXPECT_EQ(outcome.failureReason, FailureReason::cancelledBeforeSend);
-    EXPECT_EQ(httpPeer->requests.size(), before);
+    EXPECT_EQ(httpPeer->requests.size(), requestsBefore);
     EXPECT_EQ(connections().open, 0u);
   }
 }
@@ -286,14 +292,14 @@
   EXPECT_EQ(connections().open, 1u);
 }
 
-// Three connections are free. The latest past its quiet time is reused, so that few are kept in use; if none
-// is past it, the first that will be.
-TEST_P(UpstreamReportTest, LatestConnectionPastItsQuietTimeIsReused) {
+// Three connections are idle. The one used last among those past their quiet time is reused, so that few
+// connections stay in use. If none is past it, the one whose quiet time ends first is reused.
+TEST_P(UpstreamReportTest, LastUsedConnectionPastItsQuietTimeIsReused) {
   if (GetParam().jsonRpc) return;
-  for (const bool rested : {false, true}) {
-    quiet = rested ? 0ms : 600s;
+  for (const bool pastQuietTime : {false, true}) {
+    quiet = pastQuietTime ? 0ms : 600s;
     create();
-    httpPeer = std::make_unique<Peer>(io, nullptr);  // answers when the test does
+    httpPeer = std::make_unique<Peer>(io, nullptr);  // the test answers its requests
     upstream->updateEndpoint(1, httpPeer->endpoint, true);
     for (int i = 0; i < 3; ++i) send();
     ASSERT_TRUE(until([&] { return httpPeer->requests.size() == 3; }));
@@ -302,16 +308,16 @@
       EXPECT_EQ(nextOutcome().outcome, Outcome::served);
     }
     send();
-    httpPeer->connections[rested ? 2 : 0]->close();
-    EXPECT_EQ(nextOutcome().outcome, rested ? Outcome::reset : Outcome::connectFailed)
-        << "it was on that one";
+    httpPeer->connections[pastQuietTime ? 2 : 0]->close();
+    EXPECT_EQ(nextOutcome().outcome, pastQuietTime ? Outcome::reset : Outcome::connectFailed)
+        << "the attempt used the closed connection";
     EXPECT_EQ(connections().open, 2u);
   }
 }
 
-// A connection takes 100 ms to come up. The endpoint reads the time that is left when the request is written,
-// not when the attempt began.
-TEST_P(UpstreamReportTest, DeadlineSentIsWhatIsLeftWhenTheRequestIsWritten) {
+// A connection takes 100 ms to be established. The deadline sent to the endpoint is the time remaining when
+// the request is written, not when the attempt started.
+TEST_P(UpstreamReportTest, DeadlineSentIsTheTimeRemainingWhenTheRequestIsWritten) {
   if (GetParam().jsonRpc) return;
   using Clock = std::chrono::steady_clock;
   const auto deadlineIn = [](const std::string& text) {
@@ -322,20 +328,20 @@
   FullListener full(io);
   ASSERT_TRUE(until([&] { return full.filled > 0; }));
   upstream->updateEndpoint(1, full.endpoint, true);
-  const auto begun = Clock::now();
+  const auto startedAt = Clock::now();
   send(Duration(30s));
-  ASSERT_TRUE(until([&] { return Clock::now() - begun > 100ms; }));
-  const auto connecting = std::chrono::floor<std::chrono::milliseconds>(Clock::now() - begun);
+  ASSERT_TRUE(until([&] { return Clock::now() - startedAt > 100ms; }));
+  const auto connectTime = std::chrono::floor<std::chrono::milliseconds>(Clock::now() - startedAt);
   full.takeAll();
   const auto requestRead = [&] {
     return std::find_if(full.taken.begin(), full.taken.end(),
                         [](const auto& connection) { return connection->text.ends_with("\r\n\r\n"); });
   };
   ASSERT_TRUE(until([&] { return requestRead() != full.taken.end(); }));
-  EXPECT_LE(deadlineIn((*requestRead())->text), 30s - connecting);
+  EXPECT_LE(deadlineIn((*requestRead())->text), 30s - connectTime);
 }
 
-// --- What is not written yet ------------------------------------------------------------------------------
+// --- Attempts that are not completely written -------------------------------------------------------------
 
 TEST_P(UpstreamReportTest, AttemptCancelledWhileConnectingIsNeverWritten) {
   FullListener full(io);
@@ -361,14 +367,15 @@
   EXPECT_EQ(upstream->attemptsWritten(), 0u);
   upstream->cancelIfUnsent(key);
   const AttemptOutcome outcome = nextOutcome();
-  EXPECT_EQ(outcome.outcome, Outcome::connectFailed) << "an endpoint begins with the last byte: it never ran";
+  EXPECT_EQ(outcome.outcome, Outcome::connectFailed)
+      << "an endpoint executes a request only after its last byte, so it was not executed";
   EXPECT_EQ(connections().open, 0u);
   deaf.readAll();
   ASSERT_TRUE(until([&] { return deaf.taken.front()->closedByPeer; }));
   EXPECT_LT(deaf.taken.front()->received, kMoreThanFits);
 }
 
-TEST_P(UpstreamReportTest, AttemptThatIsWrittenIsNotCancelled) {
+TEST_P(UpstreamReportTest, WrittenAttemptIsNotCancelled) {
   create();
   upstream->updateEndpoint(1, serve(), true);
   const AttemptKey key = send();
@@ -378,7 +385,7 @@
   EXPECT_EQ(nextOutcome().outcome, Outcome::served);
 }
 
-TEST_P(UpstreamReportTest, AttemptNotWrittenInItsTimeNeverIs) {
+TEST_P(UpstreamReportTest, AttemptNotStartedWritingWithinItsWriteTimeoutIsNeverWritten) {
   FullListener full(io);
   create();
   upstream->updateEndpoint(1, full.endpoint, true);
@@ -392,7 +399,7 @@
   EXPECT_EQ(full.received(), 0u);
 }
 
-TEST_P(UpstreamReportTest, AttemptHalfWrittenWhenItsTimeIsOverIsNeverComplete) {
+TEST_P(UpstreamReportTest, AttemptPartlyWrittenAtItsWriteTimeoutIsNeverCompleted) {
   DeafListener deaf(io);
   create();
   upstream->updateEndpoint(1, deaf.endpoint, true);
@@ -405,8 +412,9 @@
   EXPECT_LT(deaf.taken.front()->received, kMoreThanFits);
 }
 
-// The time to write is over when the event loop comes to it, on a new connection and on a quiet one.
-TEST_P(UpstreamReportTest, LateEventLoopWritesNothingPastItsTime) {
+// The write timeout has already passed when the event loop gets to write, on a new connection and on one in
+// its quiet time.
+TEST_P(UpstreamReportTest, DelayedEventLoopWritesNothingAfterTheWriteTimeout) {
   create();
   upstream->updateEndpoint(1, serve(), true);
   for (const bool fresh : {true, false}) {
@@ -423,20 +431,20 @@
   EXPECT_EQ(upstream->attemptsWritten(), 2u);
 }
 
-TEST_P(UpstreamReportTest, AttemptWrittenInItsTimeMayWaitForItsResponse) {
+TEST_P(UpstreamReportTest, WrittenAttemptMayWaitForItsResponseBeyondTheWriteTimeout) {
   create();
   upstream->updateEndpoint(1, serve(), true);
-  std::shared_ptr<PeerConnection> held;
-  if (GetParam().jsonRpc) return;  // UpstreamTest has it
-  httpPeer->script = [&](PeerConnection& connection) { held = connection.shared_from_this(); };
+  std::shared_ptr<PeerConnection> unanswered;
+  if (GetParam().jsonRpc) return;  // tested by UpstreamTest
+  httpPeer->script = [&](PeerConnection& connection) { unanswered = connection.shared_from_this(); };
   send({60s, 40ms});
-  ASSERT_TRUE(until([&] { return held != nullptr; }));
-  asio::steady_timer passed(io, 100ms);
-  bool over = false;
-  passed.async_wait([&](error_code) { over = true; });
-  ASSERT_TRUE(until([&] { return over; }));
+  ASSERT_TRUE(until([&] { return unanswered != nullptr; }));
+  asio::steady_timer timer(io, 100ms);
+  bool expired = false;
+  timer.async_wait([&](error_code) { expired = true; });
+  ASSERT_TRUE(until([&] { return expired; }));
   EXPECT_TRUE(outcomes.empty());
-  held->reply(answerText(200, "", "ok"));
+  unanswered->reply(answerText(200, "", "ok"));
   EXPECT_EQ(nextOutcome().outcome, Outcome::served);
 }
 
@@ -447,12 +455,13 @@
   send();
   const AttemptOutcome outcome = nextOutcome();
   EXPECT_EQ(outcome.failureReason, FailureReason::malformedResponse);
-  EXPECT_TRUE(outcome.outcome == Outcome::error || outcome.outcome == Outcome::reset) << "it may have run";
+  EXPECT_TRUE(outcome.outcome == Outcome::error || outcome.outcome == Outcome::reset)
+      << "it may have been executed";
   EXPECT_FALSE(outcome.connectionKept);
   EXPECT_EQ(connections().open, 0u);
 }
 
-TEST_P(UpstreamReportTest, EndOfAnIdleConnectionIsReportedWithoutAnAttempt) {
+TEST_P(UpstreamReportTest, CloseOfAnIdleConnectionIsReported) {
   create();
   upstream->updateEndpoint(1, serve(), true);
   send();
