--- a/src/core/engine.hpp
+++ b/src/core/engine.hpp
@@ -13,8 +13,7 @@
 //  - no overlapping attempts: an attempt starts only after the previous one has ended, before the call's
 //    deadline and before the call has its reply;
 //  - no repeated effect: once an attempt may have been executed, an unsafe call is not sent again, and a
-//  keyed
-//    call is written only within its dedup window, counted from the start of the first such attempt.
+//    keyed call is written only within its dedup window, counted from the start of the first such attempt.
 #pragma once
 
 #include <cstddef>
