--- a/src/lease/codec.cpp
+++ b/src/lease/codec.cpp
@@ -1,3 +1,5 @@
+// The encoding of log entries and snapshots. The order of the elements of each tuple is part of the stored
+// format.
 #include "lease/codec.hpp"
 
 #include <msgpack.hpp>
@@ -10,32 +12,35 @@
 namespace cairnjunction::lease {
 namespace {
 
-// Of entries and snapshots: a coordinator that reads another one says so and does not guess.
+// The format version of entries and snapshots. Decoding rejects any other version.
 constexpr int kFormat = 1;
-// Elements of an array and of a map, bytes of a string and of a binary, extensions, depth: some times of what
-// the bounds of the table allow.
+// Elements of an array and of a map, bytes of a string and of a binary, extensions, depth of nesting: several
+// times what the limits of the lease table allow.
 const msgpack::unpack_limit kUnpackLimit(16384, 16384, 4096, 4096, 0, 8);
 
+// Prefixes of error messages.
 constexpr const char* kEntry = "command";
 constexpr const char* kSnapshot = "snapshot";
 
-// Kinds of a change on the log: the indexes of the variant.
+// The kinds of changes as stored in the log: the indexes of the alternatives of Change.
 enum class ChangeKind : std::uint8_t { memberJoined, leaseGranted, leasesRenewed, leaseReleased, memberLeft };
 static_assert(std::is_same_v<std::variant_alternative_t<1, Change>, LeaseGranted> &&
               std::is_same_v<std::variant_alternative_t<3, Change>, LeaseReleased> &&
               std::variant_size_v<Change> == 5);
 
 // Task, shard, epoch, sequence.
-using HeldRow = std::tuple<std::string, std::uint32_t, Epoch, Sequence>;
-// Format, log time, kind, and for all kinds in one: member's name and incarnation, zone, lease, failed, keys.
+using KeyRow = std::tuple<std::string, std::uint32_t, Epoch, Sequence>;
+// Format, log time, kind, and the fields of all kinds of changes: member's name and incarnation, zone, lease
+// duration, failed, keys. Times and durations are in milliseconds.
 using EntryRow = std::tuple<int, std::int64_t, std::uint8_t, std::string, Incarnation, std::string,
-                            std::int64_t, bool, std::vector<HeldRow>>;
-// Task, shard, epoch, holder's name and incarnation, granted at, expires at, reason, sequence.
+                            std::int64_t, bool, std::vector<KeyRow>>;
+// Task, shard, epoch, holder's name and incarnation, granted at, expires at, reason, sequence. Times are in
+// milliseconds.
 using RecordRow = std::tuple<std::string, std::uint32_t, Epoch, std::string, Incarnation, std::int64_t,
                              std::int64_t, std::uint8_t, Sequence>;
-// Member, task, consecutive failures, backoff until.
+// Member, task, consecutive failures, backoff until (milliseconds).
 using FailureRow = std::tuple<std::string, std::string, std::uint32_t, std::int64_t>;
-// Format, log time, records, members, failures.
+// Format, log time (milliseconds), records, members, failure histories.
 using SnapshotRow = std::tuple<int, std::int64_t, std::vector<RecordRow>, std::map<std::string, Incarnation>,
                                std::vector<FailureRow>>;
 
@@ -43,19 +48,19 @@
 LogTime logTimeOf(std::int64_t milliseconds) { return LogTime(Duration(milliseconds)); }
 
 template <class Value>
-std::string packed(const Value& value) {
+std::string pack(const Value& value) {
   msgpack::sbuffer out;
   msgpack::pack(out, value);
   return {out.data(), out.size()};
 }
 
 template <class Value>
-Value unpacked(std::string_view bytes, const std::string& what) {
+Value unpack(std::string_view bytes, const std::string& what) {
   try {
     std::size_t end = 0;
     const msgpack::object_handle handle =
         msgpack::unpack(bytes.data(), bytes.size(), end, nullptr, nullptr, kUnpackLimit);
-    if (end != bytes.size()) throw std::invalid_argument(what + ": bytes behind its end");
+    if (end != bytes.size()) throw std::invalid_argument(what + ": trailing bytes");
     return handle.get().as<Value>();
   } catch (const msgpack::unpack_error& error) {
     throw std::invalid_argument(what + ": " + error.what());
@@ -70,13 +75,13 @@
                                 std::to_string(kFormat));
 }
 
-// The values of all kinds of changes; those that a kind doesn't have keep their defaults.
+// The fields of all kinds of changes; those that a kind does not have keep their defaults.
 struct ChangeFields {
   Member member;
   std::string zone;
   Duration leaseDuration{};
   bool failed = false;
-  std::vector<HeldRow> keys;
+  std::vector<KeyRow> keys;
 };
 
 ChangeFields fieldsOf(const MemberJoined& joined) {
@@ -117,17 +122,18 @@
   return fields;
 }
 
-std::vector<LeasesRenewed::Held> heldOf(const std::vector<HeldRow>& rows) {
+std::vector<LeasesRenewed::Held> heldOf(const std::vector<KeyRow>& rows) {
   std::vector<LeasesRenewed::Held> held;
   held.reserve(rows.size());
   for (const auto& [task, shard, epoch, sequence] : rows) held.push_back({{task, shard}, epoch, sequence});
   return held;
 }
 
-// The one key of a change that has exactly one.
-LeasesRenewed::Held onlyKeyOf(const std::vector<HeldRow>& rows, std::uint8_t kind) {
+// The key of a change that has exactly one. Throws std::invalid_argument if there are none or several.
+LeasesRenewed::Held singleKeyOf(const std::vector<KeyRow>& rows, std::uint8_t kind) {
   if (rows.size() != 1)
-    throw std::invalid_argument(std::string(kEntry) + ": kind " + std::to_string(kind) + " names no key");
+    throw std::invalid_argument(std::string(kEntry) + ": kind " + std::to_string(kind) +
+                                " does not have exactly one key");
   return heldOf(rows).front();
 }
 
@@ -135,11 +141,11 @@
   switch (static_cast<ChangeKind>(kind)) {
     case ChangeKind::memberJoined: return MemberJoined{fields.member, fields.zone};
     case ChangeKind::leaseGranted:
-      return LeaseGranted{onlyKeyOf(fields.keys, kind).key, fields.member, fields.leaseDuration};
+      return LeaseGranted{singleKeyOf(fields.keys, kind).key, fields.member, fields.leaseDuration};
     case ChangeKind::leasesRenewed:
       return LeasesRenewed{fields.member, heldOf(fields.keys), fields.leaseDuration};
     case ChangeKind::leaseReleased: {
-      const LeasesRenewed::Held released = onlyKeyOf(fields.keys, kind);
+      const LeasesRenewed::Held released = singleKeyOf(fields.keys, kind);
       return LeaseReleased{released.key, released.epoch, fields.member, fields.failed};
     }
     case ChangeKind::memberLeft: return MemberLeft{fields.member};
@@ -158,14 +164,14 @@
 std::string encode(const LogEntry& entry) {
   const auto kind = static_cast<std::uint8_t>(entry.change.index());
   const ChangeFields fields = std::visit([](const auto& change) { return fieldsOf(change); }, entry.change);
-  return packed(EntryRow(kFormat, millisecondsOf(entry.now), kind, fields.member.name,
-                         fields.member.incarnation, fields.zone, fields.leaseDuration.count(), fields.failed,
-                         fields.keys));
+  return pack(EntryRow(kFormat, millisecondsOf(entry.now), kind, fields.member.name,
+                       fields.member.incarnation, fields.zone, fields.leaseDuration.count(), fields.failed,
+                       fields.keys));
 }
 
 LogEntry decode(std::string_view bytes) {
   const auto [format, now, kind, name, incarnation, zone, leaseDuration, failed, keys] =
-      unpacked<EntryRow>(bytes, kEntry);
+      unpack<EntryRow>(bytes, kEntry);
   requireFormat(format, kEntry);
   const ChangeFields fields{{name, incarnation}, zone, Duration(leaseDuration), failed, keys};
   return {logTimeOf(now), changeOf(kind, fields)};
@@ -183,15 +189,15 @@
   for (const auto& [memberTask, history] : state.failures.all())
     failures.emplace_back(memberTask.first, memberTask.second, history.consecutiveFailures,
                           millisecondsOf(history.backoffUntil));
-  return packed(SnapshotRow(kFormat, millisecondsOf(state.logTime), records, state.members, failures));
+  return pack(SnapshotRow(kFormat, millisecondsOf(state.logTime), records, state.members, failures));
 }
 
 LeaseTableState decodeSnapshot(std::string_view bytes) {
-  const auto [format, now, records, members, failures] = unpacked<SnapshotRow>(bytes, kSnapshot);
+  const auto [format, now, records, members, failures] = unpack<SnapshotRow>(bytes, kSnapshot);
   requireFormat(format, kSnapshot);
-  if (records.size() > kKeysMost || members.size() > kMembersMost ||
-      failures.size() > FailureHistories::kHistoriesMost)
-    throw std::invalid_argument(std::string(kSnapshot) + ": more than there is room for");
+  if (records.size() > kKeysMost || members.size() > kMaxMembers ||
+      failures.size() > FailureHistories::kMaxHistories)
+    throw std::invalid_argument(std::string(kSnapshot) + ": exceeds the limits of the lease table");
   LeaseTableState state;
   state.logTime = logTimeOf(now);
   state.members = members;
--- a/src/lease/codec.hpp
+++ b/src/lease/codec.hpp
@@ -1,5 +1,5 @@
-// Log entries and snapshots of the lease table as bytes (MessagePack). What is read is bounded, and checked
-// whole before any of it is used.
+// Encodes log entries and snapshots of the lease table as MessagePack, and decodes them. Decoding bounds the
+// sizes of its input, and returns a value only if the whole input is valid.
 #pragma once
 
 #include <string>
@@ -11,11 +11,12 @@
 namespace cairnjunction::lease {
 
 std::string encode(const LogEntry& entry);
-// Throws std::invalid_argument on what encode didn't write.
+// Throws std::invalid_argument if the bytes are not an entry written by encode().
 LogEntry decode(std::string_view bytes);
 
 std::string encodeSnapshot(const LeaseTableState& state);
-// Throws std::invalid_argument on what encodeSnapshot didn't write, or on more than a table may hold.
+// Throws std::invalid_argument if the bytes are not a snapshot written by encodeSnapshot(), or exceed the
+// limits of the lease table.
 LeaseTableState decodeSnapshot(std::string_view bytes);
 
 }  // namespace cairnjunction::lease
--- a/src/lease/enum_names.cpp
+++ b/src/lease/enum_names.cpp
@@ -1,4 +1,4 @@
-// The texts of the package's enums, as they stand in logs and answers to operators.
+// The texts of the package's enums, for logs and answers to operators.
 #include "lease/fencing_gate.hpp"
 #include "lease/lease_table.hpp"
 
@@ -18,10 +18,10 @@
 std::string_view nameOf(RejectionReason reason) {
   switch (reason) {
     case RejectionReason::none: return "none";
-    case RejectionReason::heldByAnother: return "held by another member";
-    case RejectionReason::notHolder: return "not its owner";
-    case RejectionReason::supplanted: return "another process has this member's name";
-    case RejectionReason::full: return "no room";
+    case RejectionReason::alreadyHeld: return "the lease is already held";
+    case RejectionReason::notHolder: return "not the lease holder";
+    case RejectionReason::staleIncarnation: return "another process has joined under this member's name";
+    case RejectionReason::tableFull: return "the lease table is full";
     case RejectionReason::invalid: return "nonsense";
   }
   return "";
@@ -30,11 +30,11 @@
 std::string_view nameOf(FencingResult result) {
   switch (result) {
     case FencingResult::accepted: return "taken";
-    case FencingResult::notReady: return "not told yet how far the fleet is";
-    case FencingResult::staleEpoch: return "an older epoch";
-    case FencingResult::staleSequence: return "an older order of the same epoch";
-    case FencingResult::conflictingHolder: return "a second sender under one epoch";
-    case FencingResult::tooManyKeys: return "more duties than are kept";
+    case FencingResult::notReady: return "the fencing marks are not known yet";
+    case FencingResult::staleEpoch: return "stale epoch";
+    case FencingResult::staleSequence: return "stale sequence within the epoch";
+    case FencingResult::conflictingHolder: return "a second holder under one epoch";
+    case FencingResult::tooManyKeys: return "too many keys";
   }
   return "";
 }
--- a/src/lease/failure_history.cpp
+++ b/src/lease/failure_history.cpp
@@ -1,3 +1,4 @@
+// Records failures and computes backoffs.
 #include "lease/failure_history.hpp"
 
 #include <algorithm>
@@ -5,19 +6,19 @@
 namespace cairnjunction::lease {
 namespace {
 
-// Keeps the shift defined; by then the backoff has reached its most.
-constexpr std::uint32_t kDoublingsMost = 10;
+// Bounds the shift so that it is defined. After this many doublings the backoff has reached its maximum.
+constexpr std::uint32_t kMaxDoublings = 10;
 
 Duration backoffAfter(std::uint32_t earlierFailures) {
-  const std::int64_t factor = std::int64_t{1} << std::min(earlierFailures, kDoublingsMost);
-  return std::min<Duration>(FailureHistories::kBackoffFirst * factor, FailureHistories::kBackoffMost);
+  const std::int64_t factor = std::int64_t{1} << std::min(earlierFailures, kMaxDoublings);
+  return std::min<Duration>(FailureHistories::kInitialBackoff * factor, FailureHistories::kMaxBackoff);
 }
 
 }  // namespace
 
 void FailureHistories::recordFailure(const std::string& member, const std::string& task, LogTime now) {
   const MemberTask memberTask{member, task};
-  if (!histories_.contains(memberTask) && histories_.size() >= kHistoriesMost) forgetOne();
+  if (!histories_.contains(memberTask) && histories_.size() >= kMaxHistories) evictOne();
   FailureHistory& history = histories_[memberTask];
   history.backoffUntil = now + backoffAfter(history.consecutiveFailures);
   ++history.consecutiveFailures;
@@ -32,7 +33,7 @@
   return found == histories_.end() ? FailureHistory{} : found->second;
 }
 
-void FailureHistories::forgetOne() {
+void FailureHistories::evictOne() {
   histories_.erase(
       std::min_element(histories_.begin(), histories_.end(), [](const auto& left, const auto& right) {
         return left.second.backoffUntil < right.second.backoffUntil;
--- a/src/lease/failure_history.hpp
+++ b/src/lease/failure_history.hpp
@@ -1,4 +1,5 @@
-// Which member failed at which task, so that one which fails again and again is granted it ever later.
+// The failures of each member at each task. A member that fails repeatedly backs off from the task for longer
+// and longer, and other members are granted it first.
 #pragma once
 
 #include <cstddef>
@@ -11,43 +12,44 @@
 
 namespace cairnjunction::lease {
 
-// Of one member at one task.
+// The failures of one member at one task.
 struct FailureHistory {
-  std::uint32_t consecutiveFailures = 0;  // since it last held the task for long enough
-  LogTime backoffUntil{};                 // until then others are granted the task first
+  std::uint32_t consecutiveFailures = 0;  // since recordSuccess() was last called
+  LogTime backoffUntil{};                 // until then other members are preferred for the task
   bool operator==(const FailureHistory&) const = default;
 };
 
-// The histories of all members; a part of the lease table's state, so it depends on the log only.
+// The failure histories of all members. They are part of the lease table's state, so they depend on log
+// entries only.
 class FailureHistories {
  public:
-  // Past this the history whose backoff ends first is forgotten.
-  static constexpr std::size_t kHistoriesMost = 4096;
-  // The backoff after the first failure; it doubles with each further one, up to the most.
-  static constexpr Duration kBackoffFirst{2'000};
-  static constexpr Duration kBackoffMost{300'000};
+  // At this limit, a new history replaces the one whose backoff ends first.
+  static constexpr std::size_t kMaxHistories = 4096;
+  // The backoff after the first failure. It doubles with each further failure, up to kMaxBackoff.
+  static constexpr Duration kInitialBackoff{2'000};
+  static constexpr Duration kMaxBackoff{300'000};
 
   using MemberTask = std::pair<std::string, std::string>;  // names of the member and of the task
 
   FailureHistories() = default;
-  // As a snapshot has them: at most kHistoriesMost.
+  // Restores the histories of a snapshot: at most kMaxHistories.
   explicit FailureHistories(std::map<MemberTask, FailureHistory> histories)
       : histories_(std::move(histories)) {}
 
-  // The member's lease of the task ended unrenewed, or it gave it back as failed.
+  // To be called when the member's lease expired, or was released as failed.
   void recordFailure(const std::string& member, const std::string& task, LogTime now);
-  // The member has shown that it can do the task: its history of it is forgotten.
+  // To be called when the member has shown that it can do the task. Erases its history of failures at it.
   void recordSuccess(const std::string& member, const std::string& task);
 
-  // With no failure: an empty one, whose backoff is over.
+  // Without a failure: an empty history, whose backoff is over.
   FailureHistory find(const std::string& member, const std::string& task) const;
   const std::map<MemberTask, FailureHistory>& all() const { return histories_; }
   bool operator==(const FailureHistories&) const = default;
 
  private:
-  void forgetOne();
+  void evictOne();  // the history whose backoff ends first
 
-  std::map<MemberTask, FailureHistory> histories_;  // only of those with failures
+  std::map<MemberTask, FailureHistory> histories_;  // none without a failure
 };
 
 }  // namespace cairnjunction::lease
--- a/src/lease/fencing_gate.cpp
+++ b/src/lease/fencing_gate.cpp
@@ -1,3 +1,4 @@
+// Compares fencing tokens with the marks of a receiver.
 #include "lease/fencing_gate.hpp"
 
 #include <algorithm>
@@ -15,13 +16,13 @@
 }
 
 FencingResult FencingGate::admit(const FencingToken& token) {
-  const FencingResult result = compare(token);
+  const FencingResult result = check(token);
   if (result == FencingResult::accepted) marks_[token.key] = {token.epoch, token.sequence, token.holder};
   else ++rejectedCount_;
   return result;
 }
 
-FencingResult FencingGate::compare(const FencingToken& token) const {
+FencingResult FencingGate::check(const FencingToken& token) const {
   if (!ready_) return FencingResult::notReady;
   const auto found = marks_.find(token.key);
   if (found == marks_.end())
--- a/src/lease/fencing_gate.hpp
+++ b/src/lease/fencing_gate.hpp
@@ -1,6 +1,6 @@
-// The receiver's side: the one gate that every command on behalf of the fleet passes before it has any
-// effect. It keeps the highest epoch and sequence of each key that it admitted, and rejects what is older. So
-// a holder whose lease has ended does no harm, also if it has not noticed.
+// The receiver's check of fencing tokens, which every command of the fleet must pass before it has an effect.
+// The gate stores the highest epoch and sequence that it admitted for each key, and rejects older commands.
+// So a holder whose lease has ended can do no harm, even if it has not noticed yet.
 #pragma once
 
 #include <cstddef>
@@ -13,52 +13,53 @@
 namespace cairnjunction::lease {
 
 enum class FencingResult : std::uint8_t {
-  accepted,           // newer than all that was admitted of the key: it may have its effect
-  notReady,           // learn() was not called yet, so an older epoch could not be told from a newer one
-  staleEpoch,         // the key was granted anew since: the sender is no longer its holder
-  staleSequence,      // a copy, or overtaken by a later command of the same holder
-  conflictingHolder,  // a second sender under one epoch; the coordinators grant none, so one of the two is
-                      // faulty
-  tooManyKeys         // of a key that is not kept yet, with kKeysMost kept
+  accepted,           // newer than all admitted commands of the key: it may take effect
+  notReady,           // learn() was not called yet, so a stale epoch can't be recognized
+  staleEpoch,         // the key was granted again since: the sender is no longer its holder
+  staleSequence,      // a duplicate, or overtaken by a later command of the same holder
+  conflictingHolder,  // a second sender under one epoch: since an epoch has one holder, one of them is faulty
+  tooManyKeys         // the key has no mark yet, and kKeysMost keys have one
 };
+// For logs.
 std::string_view nameOf(FencingResult result);
 
 class FencingGate {
  public:
-  static constexpr std::size_t kKeysMost = 1024;  // as many as the lease table has
+  static constexpr std::size_t kKeysMost = 1024;  // the limit of the lease table
 
-  // How far one key has come.
+  // The last known command of one key.
   struct FencingMark {
-    Epoch epoch = 0;        // the highest that is known
-    Sequence sequence = 0;  // the highest of that epoch
-    Member holder;          // who sent the last command; no name: known from the coordinators only
-    // The mark to start from when the last command may have had no effect here (after a restart or a late
-    // join): that command is admitted once more, and none before it.
+    Epoch epoch = 0;        // the highest known
+    Sequence sequence = 0;  // the highest known of that epoch
+    Member holder;          // sender of the last command; empty name: the mark is from a coordinator
+    // The mark to start from if the last command may have had no effect here (after a restart, or when
+    // joining late): the gate then admits that command once more, but none before it.
     FencingMark withoutLastCommand() const { return {epoch, sequence > 0 ? sequence - 1 : 0, holder}; }
     bool operator==(const FencingMark&) const = default;
   };
 
-  // How far the fleet has come, from the receiver's disk or from a coordinator after it joined. Commands are
-  // admitted after the first call. Marks only grow.
+  // Merges marks from the receiver's disk, or from a coordinator after joining. A mark never decreases. No
+  // command is admitted before the first call.
   void learn(const std::map<LeaseKey, FencingMark>& marks);
 
-  // Whether the command may have its effect. Moves the mark if so: it is to be stored before the effect, or
-  // rolled back if that fails.
+  // Decides whether the command may take effect, and if so advances the key's mark. The caller must store the
+  // mark before the effect, or call rollBack() if that fails.
   FencingResult admit(const FencingToken& token);
 
-  // Back to `marks`: what was admitted since they were read had no effect, and may come again.
+  // Restores marks that were read earlier. Commands admitted since then had no effect, and can be admitted
+  // again.
   void rollBack(const std::map<LeaseKey, FencingMark>& marks) { marks_ = marks; }
 
   bool ready() const { return ready_; }
   const std::map<LeaseKey, FencingMark>& marks() const { return marks_; }
-  std::uint64_t rejectedCount() const { return rejectedCount_; }  // all results but `accepted`
+  std::uint64_t rejectedCount() const { return rejectedCount_; }  // commands whose result was not `accepted`
   bool operator==(const FencingGate&) const = default;
 
  private:
-  FencingResult compare(const FencingToken& token) const;
+  FencingResult check(const FencingToken& token) const;
 
   bool ready_ = false;                     // learn() was called
-  std::map<LeaseKey, FencingMark> marks_;  // at most kKeysMost; an entry only grows, but for rollBack
+  std::map<LeaseKey, FencingMark> marks_;  // at most kKeysMost; a mark decreases only by rollBack()
   std::uint64_t rejectedCount_ = 0;
 };
 
--- a/src/lease/held_lease.hpp
+++ b/src/lease/held_lease.hpp
@@ -1,8 +1,9 @@
-// The holder's side of one key: until when it may act, by its own clock and without asking anybody.
+// A holder's view of its lease on one key. The holder decides by its own clock, without asking a coordinator,
+// until when it may act.
 //
-// Its lease counts from before it asked for it, and the coordinators can't have begun to count earlier. So by
-// a clock that runs through sleep, and is off by no more than kClockDriftDivisor says, it stops before the
-// lease can have ended on the log.
+// The holder counts the lease from a time before it sent its request, so the coordinators can't have started
+// to count earlier. Its clock also runs while the machine sleeps, and drifts by no more than
+// kClockDriftDivisor says. So the holder stops before the lease ends on the log.
 #pragma once
 
 #include <optional>
@@ -13,26 +14,27 @@
 
 class HeldLease {
  public:
-  // The coordinators answered what was asked at `askedAt`, read before the question was written. An answer of
-  // an older epoch, or to an older question, changes nothing.
+  // Records a grant or renewal. `askedAt` is the time of the request, read before it was sent. A response of
+  // an older epoch, or to an older request, changes nothing.
   void granted(Epoch epoch, Sequence sequence, BootTime askedAt, Duration leaseDuration) {
     if (epoch < epoch_) return;
     if (epoch > epoch_) begin(epoch, sequence);
     const BootTime validUntil = askedAt + leaseDuration - leaseDuration / kClockDriftDivisor;
     if (!ended_ && validUntil > validUntil_) validUntil_ = validUntil;
   }
-  // Given back, revoked, or granted to another member. Only another epoch begins it anew.
+  // The lease was released, revoked or granted to another member. Only a grant with a newer epoch starts it
+  // again.
   void end() { ended_ = true; }
 
-  // The member may act for the key.
+  // Whether the member may act for the key.
   bool isValid(BootTime now) const { return held() && now < validUntil_; }
-  // Granted and not ended; isValid says whether it still counts.
+  // Whether the lease was granted and not ended by end(). It may have expired: see isValid().
   bool held() const { return epoch_ > 0 && !ended_; }
   BootTime until() const { return validUntil_; }
   Epoch epoch() const { return epoch_; }
   Sequence sequence() const { return sequence_; }  // of the last command
 
-  // The token of the next command; none if the member may not act any more.
+  // The token of the next command; empty if the member may not act.
   std::optional<FencingToken> nextToken(const LeaseKey& key, const Member& self, BootTime now) {
     if (!isValid(now)) return std::nullopt;
     return FencingToken{key, epoch_, ++sequence_, self};
@@ -46,10 +48,10 @@
     ended_ = false;
   }
 
-  Epoch epoch_ = 0;        // the highest that was granted; 0: none yet
-  Sequence sequence_ = 0;  // only grows within an epoch
-  BootTime validUntil_{};  // only grows within an epoch
-  bool ended_ = false;     // of this epoch, for good
+  Epoch epoch_ = 0;        // the highest granted; 0: none yet
+  Sequence sequence_ = 0;  // never decreases within an epoch
+  BootTime validUntil_{};  // never decreases within an epoch
+  bool ended_ = false;     // end() was called in this epoch
 };
 
 }  // namespace cairnjunction::lease
--- a/src/lease/lease_assigner.cpp
+++ b/src/lease/lease_assigner.cpp
@@ -1,3 +1,4 @@
+// Ranks the candidates for each free key.
 #include "lease/lease_assigner.hpp"
 
 #include <algorithm>
@@ -10,13 +11,14 @@
 namespace cairnjunction::lease {
 namespace {
 
-// Which of two candidates is granted a key: the lower one, by the first field in which they differ.
+// Ranks a candidate for a key. The candidate with the lowest rank is granted it; fields are compared in
+// order.
 struct CandidateRank {
-  LogTime backoffUntil;        // `now` for one that does not back off
-  bool violatesAntiAffinity;   // it holds the task that this one is to be kept apart from
-  bool notPreferredSuccessor;  // it does not hold the task whose holder is preferred
+  LogTime backoffUntil;        // `now` for a candidate that does not back off
+  bool violatesAntiAffinity;   // it holds the task of TaskSpec::antiAffinity
+  bool notPreferredSuccessor;  // it does not hold the task of TaskSpec::preferredSuccessor
   std::size_t leasesHeld;      // of all tasks
-  std::uint64_t tieBreak;      // changes with the epoch; the same at a new leader
+  std::uint64_t tieBreak;      // depends on the epoch, and is the same on every coordinator
   // NOLINTNEXTLINE(modernize-use-nullptr,readability-implicit-bool-conversion): so in a defaulted <=>
   auto operator<=>(const CandidateRank&) const = default;
 };
@@ -27,7 +29,7 @@
   return hash ^ (hash >> 29);
 }
 
-// Counts what is held, and what it grants itself as if that were held.
+// Tracks which leases are held. A grant that it proposes counts as held for the next ones.
 class LeaseAssigner {
  public:
   LeaseAssigner(const LeaseTable& table, const std::vector<Candidate>& candidates, LogTime now)
@@ -83,7 +85,7 @@
   const LeaseTable& table_;
   const std::vector<Candidate>& candidates_;
   const LogTime now_;
-  std::map<Member, std::size_t> leasesHeld_;         // by each candidate
+  std::map<Member, std::size_t> leasesHeld_;         // by candidate
   std::map<std::string, std::set<Member>> holders_;  // by task
 };
 
--- a/src/lease/lease_assigner.hpp
+++ b/src/lease/lease_assigner.hpp
@@ -1,5 +1,5 @@
-// Who is to be granted what is free: evenly over the members, those that failed last. Decides only; the lease
-// table checks each grant again.
+// Chooses the members to which free keys are granted: it spreads leases evenly and avoids members that failed
+// at the task. It only proposes grants; the lease table checks each one when it is applied.
 #pragma once
 
 #include <cstdint>
@@ -10,24 +10,24 @@
 
 namespace cairnjunction::lease {
 
-// A task of the fleet, as its settings have it.
+// A task of the fleet, as configured.
 struct TaskSpec {
   std::string task;
-  std::uint32_t shards = 1;  // each is leased on its own
+  std::uint32_t shards = 1;  // each is leased separately
   Duration leaseDuration{3000};
-  // A task whose holder this one goes to first: it is a warm standby. Empty: none.
+  // Name of the task whose holder is preferred for this one, because it is a warm standby. Empty: none.
   std::string preferredSuccessor;
-  // A task whose holder this one goes to last. Empty: none.
+  // Name of the task whose holder is avoided for this one. Empty: none.
   std::string antiAffinity;
 };
 
-// A member that is connected and willing.
+// A member that is connected and eligible for grants.
 struct Candidate {
   Member member;
 };
 
-// The grants that are due at `now`, at most one for each key that is free; none without a candidate. A
-// candidate that backs off from a task gets it only where no other one is left.
+// The grants to propose at `now`: one for each key of `specs` that no member holds; none without a candidate.
+// A candidate that backs off from a task is chosen only if all candidates do.
 std::vector<LeaseGranted> assignLeases(const LeaseTable& table, const std::vector<TaskSpec>& specs,
                                        const std::vector<Candidate>& candidates, LogTime now);
 
--- a/src/lease/lease_table.cpp
+++ b/src/lease/lease_table.cpp
@@ -1,3 +1,4 @@
+// Applies log entries to the lease table.
 #include "lease/lease_table.hpp"
 
 #include <algorithm>
@@ -10,8 +11,9 @@
 namespace cairnjunction::lease {
 namespace {
 
-// A holder that has kept a task for so many of its leases has shown that it can do it.
-constexpr int kProvenLeases = 10;
+// A holder that has kept a key for this many lease durations has shown that it can do the task, and its
+// failures are forgotten.
+constexpr int kLeaseDurationsToClearFailures = 10;
 
 bool isValidName(const std::string& name) { return !name.empty() && name.size() <= kNameMost; }
 bool isValidDuration(Duration duration) { return duration >= kLeaseLeast && duration <= kLeaseMost; }
@@ -40,10 +42,11 @@
 }
 
 std::size_t LeaseTable::held(const Member& member, LogTime now) const {
-  const auto isHeld = [&](const auto& entry) {
+  const auto isHeldByMember = [&](const auto& entry) {
     return entry.second.holder == member && entry.second.heldAt(now);
   };
-  return static_cast<std::size_t>(std::count_if(state_.records.begin(), state_.records.end(), isHeld));
+  return static_cast<std::size_t>(
+      std::count_if(state_.records.begin(), state_.records.end(), isHeldByMember));
 }
 
 std::string LeaseTable::snapshot() const { return encodeSnapshot(state_); }
@@ -54,7 +57,8 @@
   const Member& member = joined.member;
   if (!isValidName(member.name) || member.incarnation == 0 || joined.zone.size() > kNameMost)
     return {RejectionReason::invalid, {}};
-  if (!state_.members.contains(member.name) && !makeRoomForMember()) return {RejectionReason::full, {}};
+  if (!state_.members.contains(member.name) && !ensureMemberCapacity())
+    return {RejectionReason::tableFull, {}};
   state_.members[member.name] = member.incarnation;
   return {};
 }
@@ -63,11 +67,11 @@
   if (!isValidName(granted.key.task) || !isValidDuration(granted.leaseDuration))
     return {RejectionReason::invalid, {}};
   if (incarnationOf(granted.member.name) != granted.member.incarnation || granted.member.incarnation == 0)
-    return {RejectionReason::supplanted, {}};
+    return {RejectionReason::staleIncarnation, {}};
   if (!state_.records.contains(granted.key) && state_.records.size() >= kKeysMost)
-    return {RejectionReason::full, {}};
+    return {RejectionReason::tableFull, {}};
   LeaseRecord& record = state_.records[granted.key];
-  if (record.heldAt(state_.logTime)) return {RejectionReason::heldByAnother, {}};
+  if (record.heldAt(state_.logTime)) return {RejectionReason::alreadyHeld, {}};
   if (!record.holder.name.empty()) endLease(granted.key, record, LeaseChangeReason::expired);
   ++record.epoch;
   record.holder = granted.member;
@@ -77,12 +81,12 @@
   return {RejectionReason::none, {{granted.key, record.epoch, 0}}};
 }
 
-// Past its end a lease is not renewed, also if nobody was granted the key yet: its holder stopped by its own
-// clock, and begins anew with another epoch.
+// An expired lease is not renewed, even if the key was not granted again yet: by its own clock the holder has
+// stopped already, and needs a grant with a new epoch to start again.
 ApplyResult LeaseTable::applyChange(const LeasesRenewed& renewed) {
   if (!isValidDuration(renewed.leaseDuration)) return {RejectionReason::invalid, {}};
   if (incarnationOf(renewed.member.name) != renewed.member.incarnation)
-    return {RejectionReason::supplanted, {}};
+    return {RejectionReason::staleIncarnation, {}};
   ApplyResult result;
   for (const LeasesRenewed::Held& held : renewed.held) {
     const auto found = state_.records.find(held.key);
@@ -94,7 +98,7 @@
     LeaseRecord& record = found->second;
     record.expiresAt = std::max(record.expiresAt, state_.logTime + renewed.leaseDuration);
     record.sequence = std::max(record.sequence, held.sequence);
-    if (state_.logTime - record.grantedAt >= kProvenLeases * renewed.leaseDuration)
+    if (state_.logTime - record.grantedAt >= kLeaseDurationsToClearFailures * renewed.leaseDuration)
       state_.failures.recordSuccess(renewed.member.name, held.key.task);
     result.held.push_back({held.key, record.epoch, record.sequence});
   }
@@ -119,8 +123,8 @@
   return {};
 }
 
-// The record stays with its epoch. If it were erased, the key's epochs would begin anew, and receivers would
-// admit a late command of an earlier holder.
+// Keeps the record and its epoch: if it were erased, the key's epochs would restart at 1, and a receiver
+// could admit a late command of an earlier holder.
 void LeaseTable::endLease(const LeaseKey& key, LeaseRecord& record, LeaseChangeReason reason) {
   if (reason == LeaseChangeReason::expired || reason == LeaseChangeReason::failed)
     state_.failures.recordFailure(record.holder.name, key.task, state_.logTime);
@@ -129,10 +133,10 @@
   record.reason = reason;
 }
 
-// A member that holds nothing may be forgotten: its next renewal is rejected as supplanted, and it joins
-// again.
-bool LeaseTable::makeRoomForMember() {
-  if (state_.members.size() < kMembersMost) return true;
+// Evicting a member without leases does no harm: its next grant or renewal is rejected as staleIncarnation,
+// and it joins again.
+bool LeaseTable::ensureMemberCapacity() {
+  if (state_.members.size() < kMaxMembers) return true;
   const auto idle = std::find_if(state_.members.begin(), state_.members.end(), [this](const auto& member) {
     return held({member.first, member.second}, state_.logTime) == 0;
   });
--- a/src/lease/lease_table.hpp
+++ b/src/lease/lease_table.hpp
@@ -1,11 +1,12 @@
-// Who holds which lease: the state machine on the coordinators' log. Each coordinator applies the same
-// entries in the same order and comes to the same state; time comes with the entries.
+// The lease table: the state machine that is replicated by the coordinators' log. Each coordinator applies
+// the same entries in the same order and reaches the same state. It reads no clock: time is part of the
+// entries.
 //
-// What it promises, whatever is applied (checked by LeaseTableInvariants):
+// Guarantees for any sequence of entries (checked by LeaseTableInvariants):
 //  - a key has at most one holder, and its epoch grows with each grant;
-//  - no other member is granted a key before the log's time has reached the end of its lease, unless the
-//    holder released it;
-//  - a renewal counts only for the epoch in force and the process that was granted it.
+//  - a key is granted again only after the log's time has reached the end of its lease, or after its holder
+//    released it or left;
+//  - a renewal extends a lease only if it names the current epoch and is sent by the process that holds it.
 #pragma once
 
 #include <cstddef>
@@ -21,21 +22,22 @@
 
 namespace cairnjunction::lease {
 
-// Why an entry, or a part of a renewal, changed nothing.
+// Why an entry, or one key of a renewal, was rejected. A rejected entry changes nothing but the log's time.
 enum class RejectionReason : std::uint8_t {
-  none,           // it was applied
-  heldByAnother,  // grant: the key's lease has not ended, whoever holds it
-  notHolder,      // renewal, release: the member does not hold a key under the epoch that it names
-  supplanted,     // grant, renewal: the process is not the last one that joined under its name
-  full,           // join, grant: kMembersMost members that hold something, or kKeysMost keys
-  invalid         // an empty or overlong name, no incarnation, a lease out of range
+  none,              // not rejected
+  alreadyHeld,       // grant: the key's current lease, of any member, has not ended
+  notHolder,         // renewal, release: the member does not hold the key under the epoch that it names
+  staleIncarnation,  // grant, renewal: the process is not the last one that joined under its name
+  tableFull,         // join: kMaxMembers members that all hold leases; grant: kKeysMost keys
+  invalid            // empty or too long name, no incarnation, lease duration out of range
 };
+// For logs and answers to operators.
 std::string_view nameOf(RejectionReason reason);
 
 struct ApplyResult {
   RejectionReason rejection = RejectionReason::none;
-  // What was granted or renewed, with the epoch in force and the sequence as known. A renewal may have both
-  // these and, for its other keys, a rejection.
+  // The leases that were granted or renewed, with their epoch and the last known sequence. A renewal may list
+  // leases here and also have a rejection, which then concerns its other keys.
   std::vector<LeasesRenewed::Held> held;
 };
 
@@ -44,20 +46,20 @@
   ApplyResult apply(const LogEntry& entry);
 
   LogTime now() const { return state_.logTime; }  // of the last entry
-  // Null: the key was never granted. Good until the next apply or restore.
+  // Null: the key was never granted. Valid until the next apply() or restore().
   const LeaseRecord* find(const LeaseKey& key) const;
   const std::map<LeaseKey, LeaseRecord>& holdings() const { return state_.records; }
   FailureHistory failureHistory(const std::string& member, const std::string& task) const;
-  // The process that joined last under this name; 0: none.
+  // The last process that joined under this name; 0: none, or it left or was evicted.
   Incarnation incarnationOf(const std::string& member) const;
-  // How many keys the member holds at `now`.
+  // The number of leases that the member holds at `now`.
   std::size_t held(const Member& member, LogTime now) const;
   const LeaseTableState& state() const { return state_; }
   bool operator==(const LeaseTable&) const = default;
 
-  // All of the state as bytes, and back. restore throws std::invalid_argument on what snapshot didn't write,
-  // and leaves the table as it was.
-  std::string snapshot() const;
+  std::string snapshot() const;  // the whole state, encoded
+  // Replaces the state by an encoded one. Throws std::invalid_argument, and leaves the table unchanged, if
+  // the bytes are not a valid snapshot.
   void restore(std::string_view bytes);
 
  private:
@@ -67,7 +69,8 @@
   ApplyResult applyChange(const LeaseReleased& released);
   ApplyResult applyChange(const MemberLeft& left);
   void endLease(const LeaseKey& key, LeaseRecord& record, LeaseChangeReason reason);
-  bool makeRoomForMember();
+  // Evicts a member without leases if the table is full. False: all members hold leases.
+  bool ensureMemberCapacity();
 
   LeaseTableState state_;
 };
--- a/src/lease/lease_table_invariants.hpp
+++ b/src/lease/lease_table_invariants.hpp
@@ -1,5 +1,5 @@
-// What holds for a lease table at any time, and from one entry to the next. The tests check both after every
-// step; a debug build checks the first after each entry.
+// The invariants of the lease table's state, and of each change from one entry to the next. The tests check
+// both after every step; a debug build checks those of the state after each entry.
 #pragma once
 
 #include <string>
@@ -11,9 +11,9 @@
 
 class LeaseTableInvariants {
  public:
-  // One line for each invariant that the state breaks; empty: none.
+  // One line for each invariant that the state violates, such as "list/0: a lease ends after it was granted".
   static std::vector<std::string> violationsIn(const LeaseTableState& state);
-  // The same for one entry: `after` is what it made of `before`.
+  // The same for the change from `before` to `after`, made by applying one entry.
   static std::vector<std::string> violationsBetween(const LeaseTableState& before,
                                                     const LeaseTableState& after);
 };
--- a/src/lease/lease_table_state.hpp
+++ b/src/lease/lease_table_state.hpp
@@ -1,5 +1,5 @@
-// What the lease table knows: all of it is in a snapshot, and equal on each coordinator after the same
-// entries.
+// The state of the lease table: what a snapshot contains, and what is equal on all coordinators that applied
+// the same entries.
 #pragma once
 
 #include <cstddef>
@@ -13,39 +13,40 @@
 
 namespace cairnjunction::lease {
 
-// Bounds on what members can make the log hold: some kB for each, in every snapshot.
-inline constexpr std::size_t kKeysMost = 1024;     // a fleet has some tens
-inline constexpr std::size_t kMembersMost = 4096;  // past it, one that holds nothing is forgotten
+// Bounds on the state that members can create. Every snapshot contains all of it.
+inline constexpr std::size_t kKeysMost = 1024;    // a fleet has a few dozen
+inline constexpr std::size_t kMaxMembers = 4096;  // at this limit, a join evicts a member that holds no lease
 
-// How the last lease of a key came to its end.
+// Why the last lease of a key ended. Stored by its value: the order stays.
 enum class LeaseChangeReason : std::uint8_t {
-  vacant,    // there was none
-  expired,   // it was not renewed before its end
-  released,  // its holder gave it back: it stops, or was asked to
-  failed,    // its holder gave it back since it can't do the task
-  left       // its holder left the fleet
+  vacant,    // there was no lease
+  expired,   // the holder did not renew it in time
+  released,  // the holder released it because it stops, or was asked to
+  failed,    // the holder released it because it can't do the task
+  left       // the holder left the fleet
 };
+// For logs and answers to operators.
 std::string_view nameOf(LeaseChangeReason reason);
 
-// Of one key that was granted at least once.
+// The state of one key that was granted at least once.
 struct LeaseRecord {
-  Epoch epoch = 0;      // of the last grant, from 1; stays when the lease ends, for receivers compare with it
-  Member holder;        // granted under this epoch; no name: it gave the key back
+  Epoch epoch = 0;  // of the last grant, from 1; kept when the lease ends, since receivers compare with it
+  Member holder;    // under this epoch; empty name: the key was released, or its holder left
   LogTime grantedAt{};  // of this epoch
-  LogTime expiresAt{};  // end of the lease, later than grantedAt; without a holder the log's begin
-  // How the lease under the previous epoch ended; once the key is given back, how this one did.
+  LogTime expiresAt{};  // later than grantedAt; zero without a holder
+  // With a holder: why the lease under the previous epoch ended. Without one: why this epoch's lease ended.
   LeaseChangeReason reason = LeaseChangeReason::vacant;
-  Sequence sequence = 0;  // of the last command that the holder had sent when it renewed; 0: none is known
+  Sequence sequence = 0;  // of the holder's last command, as of its last renewal; 0: none known
   bool operator==(const LeaseRecord&) const = default;
 
-  // Past its end a lease has a holder until the next grant, but counts for nothing.
+  // An expired lease keeps its holder on record until the next grant, but is not held.
   bool heldAt(LogTime now) const { return !holder.name.empty() && now < expiresAt; }
 };
 
 struct LeaseTableState {
-  LogTime logTime{};                           // of the last entry; never goes back
-  std::map<LeaseKey, LeaseRecord> records;     // never erased, at most kKeysMost
-  std::map<std::string, Incarnation> members;  // by name the process that joined last, at most kMembersMost
+  LogTime logTime{};                           // of the last entry; never decreases
+  std::map<LeaseKey, LeaseRecord> records;     // never erased; at most kKeysMost
+  std::map<std::string, Incarnation> members;  // last process that joined, by name; at most kMaxMembers
   FailureHistories failures;
   bool operator==(const LeaseTableState&) const = default;
 };
--- a/src/lease/log_entry.hpp
+++ b/src/lease/log_entry.hpp
@@ -1,5 +1,5 @@
-// The entries of the coordinators' log, one type for each change of the lease table. All values come with the
-// entry: what a coordinator makes of it depends on nothing else.
+// The entries of the coordinators' log, with one type for each kind of change to the lease table. An entry
+// contains every value that is needed to apply it, so all coordinators reach the same state.
 #pragma once
 
 #include <cstddef>
@@ -12,56 +12,56 @@
 
 namespace cairnjunction::lease {
 
-// Bytes of the name of a member, a task or a zone.
+// The longest name of a member, a task or a zone, in bytes.
 inline constexpr std::size_t kNameMost = 128;
-// The range of a lease's duration.
+// The shortest and the longest duration of a lease.
 inline constexpr Duration kLeaseLeast{200};
 inline constexpr Duration kLeaseMost{60'000};
 
-// A process joined under this name. It gets the name, but none of the leases of the process that had it
-// before: that one may still run behind a cut link.
+// A process joined under this name. It takes over the name but none of the leases of the previous process,
+// which may still be running behind a network partition.
 struct MemberJoined {
-  Member member;     // its name not empty, its incarnation not 0
+  Member member;     // name not empty, incarnation not 0
   std::string zone;  // may be empty
 };
 
-// The leader grants a key that is free.
+// The leader grants a lease on a key that has no holder.
 struct LeaseGranted {
   LeaseKey key;
-  Member member;             // to this process, which must be the last one that joined under its name
-  Duration leaseDuration{};  // from kLeaseLeast to kLeaseMost, counted from the entry's time
+  Member member;             // the new holder; must be the last process that joined under its name
+  Duration leaseDuration{};  // kLeaseLeast to kLeaseMost, counted from the entry's time
 };
 
-// A holder asks to keep what it holds.
+// A holder renews the leases that it holds.
 struct LeasesRenewed {
   struct Held {
     LeaseKey key;
-    Epoch epoch = 0;        // under which the member holds it
-    Sequence sequence = 0;  // of the last command that the member sent under it; 0: none
+    Epoch epoch = 0;        // of the member's lease
+    Sequence sequence = 0;  // of the last command that the member sent under this epoch; 0: none
   };
   Member member;
   std::vector<Held> held;
-  Duration leaseDuration{};  // of all of them, from kLeaseLeast to kLeaseMost
+  Duration leaseDuration{};  // of each lease; kLeaseLeast to kLeaseMost, counted from the entry's time
 };
 
-// A holder gives a key back before its lease ends: it sends nothing under that epoch any more.
+// A holder releases a key before its lease ends. It sends no more commands under that epoch.
 struct LeaseReleased {
   LeaseKey key;
   Epoch epoch = 0;
   Member member;
-  bool failed = false;  // it can't do the task, and is to back off; otherwise it stops, or was asked to
+  bool failed = false;  // true: it can't do the task and must back off; false: it stops, or was asked to
 };
 
-// A process leaves the fleet and gives back all it holds.
+// A process leaves the fleet and releases all its leases.
 struct MemberLeft {
   Member member;
 };
 
-// The index of an alternative is its kind on the log: new ones go behind.
+// The index of an alternative is stored in the log as the kind of change, so new alternatives are appended.
 using Change = std::variant<MemberJoined, LeaseGranted, LeasesRenewed, LeaseReleased, MemberLeft>;
 
 struct LogEntry {
-  LogTime now{};  // the leader's count; one that is before the table's is taken as the table's
+  LogTime now{};  // by the leader's clock; if it is before the table's time, the table's time is used
   Change change;
 };
 
--- a/src/lease/stable_hash.hpp
+++ b/src/lease/stable_hash.hpp
@@ -1,5 +1,6 @@
-// A hash of names that is the same in each process and build, unlike std::hash: who is granted a lease and
-// which shard a name belongs to must not depend on who computes it. FNV-1a; its users fold its high bits in.
+// A hash of names that is the same in each process and build, unlike std::hash: to whom a lease is granted
+// and to which shard a name belongs must not depend on the process that computes it. FNV-1a, with its own
+// offset basis; callers mix in the high bits themselves.
 #pragma once
 
 #include <cstdint>
--- a/tests/lease/explorer_test.cpp
+++ b/tests/lease/explorer_test.cpp
@@ -1,7 +1,7 @@
-// A model checker for lease table, held leases and fencing gate together: all interleavings of asking,
-// granting, renewing, expiring, deciding, crashing, restarting, delaying, copying and reordering, breadth
-// first up to a depth. A member that is paused is one that does nothing while time goes on, and a command
-// that it decided may come at any later moment, so pauses and delayed bytes are among the interleavings.
+// A model checker for lease table, held leases and fencing gate together. It explores all interleavings of
+// requests, grants, renewals, expiry, commands, crashes, restarts, and of delayed, duplicated and reordered
+// messages, breadth first up to a depth. A paused member is one that takes no step while time advances, and a
+// command may arrive at any later time, so pauses and delayed bytes are covered.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -28,13 +28,14 @@
 constexpr int kMembers = 3;
 constexpr int kTasks = 2;
 
-// What a variant does wrong; the real parts are used for the rest.
+// Faults injected into a variant, to test that the explorer detects them.
 struct Faults {
-  bool noEpochCheck = false;     // the receiver admits commands of older epochs
-  bool leaseFromAnswer = false;  // a holder counts its lease from when it heard of it
-  bool forgetAtRestart = false;  // the receiver's marks are gone after a restart
+  bool noEpochCheck = false;        // the receiver admits commands of older epochs
+  bool leaseFromResponse = false;   // a holder counts its lease from the response, not from the request
+  bool marksLostAtRestart = false;  // the receiver loses its fencing marks at a restart
 };
 
+// The size of the model, and limits on the steps of one path.
 struct Bounds {
   int members = kMembers;
   int tasks = kTasks;
@@ -42,54 +43,57 @@
   int ticks = 4;
   int crashes = 1;
   int restarts = 1;
-  int copies = 1;
-  std::size_t messages = 3;  // under way at once
-  bool disk = true;          // of the receiver; without one it learns from the coordinators at its restart
-  std::size_t statesMost = 400'000;
+  int duplicates = 1;
+  std::size_t messages = 3;     // in the network at once
+  bool receiverHasDisk = true;  // false: it gets its marks from the coordinators at a restart
+  std::size_t maxStates = 400'000;
 };
 
-// A member asks for a key, or to keep it.
-struct Ask {
+// A member's request for a grant or a renewal.
+struct Request {
   int member;
   int task;
   Incarnation incarnation;
   BootTime askedAt;
-  Epoch renews;  // 0: asks for a grant
+  Epoch renewedEpoch;  // 0: a request for a grant
   // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 finds it in a defaulted <=>
-  auto operator<=>(const Ask&) const = default;
+  auto operator<=>(const Request&) const = default;
 };
-struct Answer {
+// The coordinators' response to a granted request.
+struct Response {
   int member;
   int task;
   Incarnation incarnation;
   BootTime askedAt;
   Epoch epoch;
   // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 finds it in a defaulted <=>
-  auto operator<=>(const Answer&) const = default;
+  auto operator<=>(const Response&) const = default;
 };
-using Message = std::variant<Ask, Answer, FencingToken>;
+using Message = std::variant<Request, Response, FencingToken>;
 
+// The current process of a member.
 struct Process {
   Incarnation incarnation = 1;
   std::array<HeldLease, kTasks> leases;
 };
 
+// One state of the model: coordinators, members, receiver and network.
 struct World {
   Duration now{1000};
   LeaseTable table;
   std::array<Process, kMembers> members;
   FencingGate gate;
-  std::vector<Message> network;  // sorted: their order says nothing
+  std::vector<Message> network;  // sorted, since messages may be reordered
   int ticks = 0;
   int crashes = 0;
   int restarts = 0;
-  int copies = 0;
-  // What the receiver did, for the promises: by task the highest epoch, and who had an effect under each
-  // epoch.
-  std::array<Epoch, kTasks> highest{};
+  int duplicates = 0;
+  // The receiver's effects, to check the guarantees: the highest epoch by task, and the member's name by
+  // task and epoch.
+  std::array<Epoch, kTasks> highestEpoch{};
   std::map<std::pair<int, Epoch>, std::string> effects;
 
-  // All machines and the log count it alike, from the same moment.
+  // The clocks of all machines and of the log are equal.
   BootTime bootTime() const { return BootTime(now); }
   LogTime logTime() const { return LogTime(now); }
 };
@@ -97,12 +101,12 @@
 std::string memberName(int member) { return {static_cast<char>('a' + member)}; }
 LeaseKey keyOf(int task) { return {task == 0 ? "list" : "probe", 0}; }
 
-// All that two worlds may differ in, as text.
+// Encodes everything in which two worlds can differ, to recognize worlds that were visited.
 class WorldIdentity {
  public:
   explicit WorldIdentity(const World& world) : text_(world.table.snapshot()) {
-    add(world.now.count(), world.ticks, world.crashes, world.restarts, world.copies, world.gate.ready(),
-        world.highest[0], world.highest[1]);
+    add(world.now.count(), world.ticks, world.crashes, world.restarts, world.duplicates, world.gate.ready(),
+        world.highestEpoch[0], world.highestEpoch[1]);
     for (const Process& process : world.members)
       for (const HeldLease& lease : process.leases)
         add(process.incarnation, lease.epoch(), lease.sequence(), millisecondsOf(lease.until()),
@@ -131,11 +135,13 @@
   void add(Number... numbers) {
     ((text_ += std::to_string(numbers) + ','), ...);
   }
-  void addMessage(const Ask& ask) {
-    add(ask.member, ask.task, ask.incarnation, millisecondsOf(ask.askedAt), ask.renews);
+  void addMessage(const Request& request) {
+    add(request.member, request.task, request.incarnation, millisecondsOf(request.askedAt),
+        request.renewedEpoch);
   }
-  void addMessage(const Answer& answer) {
-    add(answer.member, answer.task, answer.incarnation, millisecondsOf(answer.askedAt), answer.epoch);
+  void addMessage(const Response& response) {
+    add(response.member, response.task, response.incarnation, millisecondsOf(response.askedAt),
+        response.epoch);
   }
   void addMessage(const FencingToken& token) {
     text_ += token.key.task + token.holder.name;
@@ -145,6 +151,7 @@
   std::string text_;
 };
 
+// Visits all worlds within the bounds, breadth first, until a guarantee is violated.
 class Explorer {
  public:
   Explorer(const Faults& faults, const Bounds& bounds) : faults_(faults), bounds_(bounds) {}
@@ -154,30 +161,31 @@
     first.gate.learn({});
     for (int member = 0; member < bounds_.members; ++member)
       applyChecked(first, MemberJoined{{memberName(member), 1}, ""});
-    reach(first, 0);
-    while (!next_.empty() && harm_.empty()) {
+    visit(first, 0);
+    while (!next_.empty() && violation_.empty()) {
       const auto [world, depth] = std::move(next_.front());
       next_.pop_front();
       step(world, depth);
     }
-    std::printf("%zu states, %s%d steps deep: %s\n", states_, states_ >= bounds_.statesMost ? "cut off " : "",
-                depth_, harm_.empty() ? "all promises held" : harm_.c_str());
+    std::printf("%zu states, %s%d steps deep: %s\n", states_,
+                states_ >= bounds_.maxStates ? "stopped early, " : "", depth_,
+                violation_.empty() ? "no violation" : violation_.c_str());
   }
 
-  const std::string& harm() const { return harm_; }  // the first promise that was broken
+  const std::string& violation() const { return violation_; }  // the first one found; empty: none
   std::size_t states() const { return states_; }
   int depth() const { return depth_; }
 
  private:
-  // After each step: a world that is new is checked, and goes on from there.
-  void reach(World world, int depth) {
+  // Checks a world that was not visited yet, and queues it for further steps.
+  void visit(World world, int depth) {
     std::sort(world.network.begin(), world.network.end());
-    if (!harm_.empty() || states_ >= bounds_.statesMost) return;
+    if (!violation_.empty() || states_ >= bounds_.maxStates) return;
     if (!seen_.insert(WorldIdentity(world).text()).second) return;
     ++states_;
     depth_ = std::max(depth_, depth);
     for (int task = 0; task < bounds_.tasks; ++task)
-      if (holdersOf(world, task) > 1) harm_ = "two members may act for one task at once";
+      if (holdersOf(world, task) > 1) violation_ = "two members may act for one task at once";
     if (depth < bounds_.depth) next_.emplace_back(std::move(world), depth);
   }
 
@@ -193,7 +201,7 @@
     ApplyResult result = world.table.apply({world.logTime(), change});
     for (const auto& violations : {LeaseTableInvariants::violationsIn(world.table.state()),
                                    LeaseTableInvariants::violationsBetween(before, world.table.state())})
-      if (!violations.empty()) harm_ = violations.front();
+      if (!violations.empty()) violation_ = violations.front();
     return result;
   }
 
@@ -202,40 +210,41 @@
     FencingResult result = world.gate.admit(token);
     if (faults_.noEpochCheck && result == FencingResult::staleEpoch) result = FencingResult::accepted;
     if (result != FencingResult::accepted) return;
-    if (token.epoch < world.highest[task]) harm_ = "an effect of an older epoch after a newer one";
-    world.highest[task] = std::max(world.highest[task], token.epoch);
+    if (token.epoch < world.highestEpoch[task]) violation_ = "an effect of an older epoch after a newer one";
+    world.highestEpoch[task] = std::max(world.highestEpoch[task], token.epoch);
     const auto [effect, first] = world.effects.emplace(std::pair(task, token.epoch), token.holder.name);
-    if (!first && effect->second != token.holder.name) harm_ = "two members' effects under one epoch";
+    if (!first && effect->second != token.holder.name) violation_ = "two members' effects under one epoch";
   }
 
-  void receive(World& world, const Ask& ask) {
-    const Member member{memberName(ask.member), ask.incarnation};
-    const LeaseKey key = keyOf(ask.task);
+  void receive(World& world, const Request& request) {
+    const Member member{memberName(request.member), request.incarnation};
+    const LeaseKey key = keyOf(request.task);
     const ApplyResult result =
-        ask.renews > 0 ? applyChecked(world, LeasesRenewed{member, {{key, ask.renews, 0}}, kLease})
-                       : applyChecked(world, LeaseGranted{key, member, kLease});
+        request.renewedEpoch > 0
+            ? applyChecked(world, LeasesRenewed{member, {{key, request.renewedEpoch, 0}}, kLease})
+            : applyChecked(world, LeaseGranted{key, member, kLease});
     if (!result.held.empty())
       world.network.emplace_back(
-          Answer{ask.member, ask.task, ask.incarnation, ask.askedAt, result.held[0].epoch});
+          Response{request.member, request.task, request.incarnation, request.askedAt, result.held[0].epoch});
   }
 
-  void receive(World& world, const Answer& answer) const {
-    Process& process = world.members[answer.member];
-    if (process.incarnation != answer.incarnation) return;
-    const BootTime countedFrom = faults_.leaseFromAnswer ? world.bootTime() : answer.askedAt;
-    process.leases[answer.task].granted(answer.epoch, 0, countedFrom, kLease);
+  void receive(World& world, const Response& response) const {
+    Process& process = world.members[response.member];
+    if (process.incarnation != response.incarnation) return;
+    const BootTime countedFrom = faults_.leaseFromResponse ? world.bootTime() : response.askedAt;
+    process.leases[response.task].granted(response.epoch, 0, countedFrom, kLease);
   }
 
   void deliver(World& world, const Message& message) {
     std::visit([this, &world](const auto& content) { this->receive(world, content); }, message);
   }
 
-  // One step from `world`, made by `change` on a copy of it.
+  // Visits the world that `change` makes of a copy of `world`.
   template <class Step>
   void branch(const World& world, int depth, Step change) {
     World copy = world;
     change(copy);
-    reach(std::move(copy), depth + 1);
+    visit(std::move(copy), depth + 1);
   }
 
   void step(const World& world, int depth) {
@@ -257,9 +266,9 @@
         copy.network.erase(copy.network.begin() + static_cast<std::ptrdiff_t>(i));
         deliver(copy, message);
       });
-      if (world.copies < bounds_.copies)
+      if (world.duplicates < bounds_.duplicates)
         branch(world, depth, [&](World& copy) {
-          ++copy.copies;
+          ++copy.duplicates;
           deliver(copy, message);
         });
     }
@@ -271,10 +280,10 @@
       const HeldLease& lease = process.leases[task];
       branch(world, depth, [&](World& copy) {
         copy.network.emplace_back(
-            Ask{member, task, process.incarnation, world.bootTime(), lease.held() ? lease.epoch() : 0});
+            Request{member, task, process.incarnation, world.bootTime(), lease.held() ? lease.epoch() : 0});
       });
       if (!lease.isValid(world.bootTime())) continue;
-      branch(world, depth, [&](World& copy) {  // decides; the command may be written at any later moment
+      branch(world, depth, [&](World& copy) {  // sends a command, which may arrive at any later time
         const Member self{memberName(member), process.incarnation};
         copy.network.emplace_back(
             *copy.members[member].leases[task].nextToken(keyOf(task), self, copy.bootTime()));
@@ -291,13 +300,13 @@
   void restartReceiver(World& world) const {
     ++world.restarts;
     std::map<LeaseKey, FencingGate::FencingMark> marks;
-    if (bounds_.disk) {
+    if (bounds_.receiverHasDisk) {
       marks = world.gate.marks();
     } else {
       for (const auto& [key, record] : world.table.holdings())
         marks[key] = {record.epoch, record.sequence, {}};
     }
-    if (faults_.forgetAtRestart) marks.clear();
+    if (faults_.marksLostAtRestart) marks.clear();
     world.gate = {};
     for (auto& [key, mark] : marks) mark = mark.withoutLastCommand();
     world.gate.learn(marks);
@@ -305,15 +314,15 @@
 
   const Faults faults_;
   const Bounds bounds_;
-  std::string harm_;
+  std::string violation_;
   std::size_t states_ = 0;
   int depth_ = 0;
   std::unordered_set<std::string> seen_;
   std::deque<std::pair<World, int>> next_;
 };
 
-// Wide: three members, two tasks, and everything may happen. Deep: two members and one task, so far that a
-// second holder follows a first.
+// Wide: three members, two tasks and all kinds of steps. Deep: two members and one task, deep enough for a
+// second holder to follow the first.
 const Bounds kWide{.depth = 6};
 const Bounds kDeep{.members = 2,
                    .tasks = 1,
@@ -321,38 +330,36 @@
                    .ticks = 3,
                    .crashes = 0,
                    .restarts = 1,
-                   .copies = 0,
+                   .duplicates = 0,
                    .messages = 2};
 
-void expectPromises(Bounds bounds, bool disk) {
-  bounds.disk = disk;
+void expectGuarantees(Bounds bounds, bool receiverHasDisk) {
+  bounds.receiverHasDisk = receiverHasDisk;
   Explorer explorer(Faults{}, bounds);
   explorer.explore();
-  EXPECT_EQ(explorer.harm(), "") << "disk " << disk;
+  EXPECT_EQ(explorer.violation(), "") << "receiver has a disk: " << receiverHasDisk;
   EXPECT_GT(explorer.states(), 10'000U);
-  EXPECT_LT(explorer.states(), bounds.statesMost) << "cut off before its depth";
+  EXPECT_LT(explorer.states(), bounds.maxStates) << "stopped before the depth was reached";
   EXPECT_EQ(explorer.depth(), bounds.depth);
 }
 
-// Anything that may happen to members, coordinators, receiver and network, in any order.
-// No two members may act at once, no older epoch has an effect after a newer one, and the table's invariants
-// hold.
-TEST(Explorer, NoInterleavingBreaksAPromise) {
+// In all interleavings within the bounds, no two members may act for one task at once, no older epoch has an
+// effect after a newer one, and the lease table's invariants hold.
+TEST(Explorer, NoInterleavingViolatesAGuarantee) {
   for (const Bounds& bounds : {kWide, kDeep})
-    for (const bool disk : {true, false}) expectPromises(bounds, disk);
+    for (const bool receiverHasDisk : {true, false}) expectGuarantees(bounds, receiverHasDisk);
 }
 
-// One of the guards is left out.
-// The explorer finds the harm that it prevents.
-TEST(Explorer, FindsTheHarmOfEachBrokenVariant) {
+// With one safeguard disabled, the explorer finds the violation that it prevents.
+TEST(Explorer, FindsTheViolationOfEachFaultyVariant) {
   const std::vector<std::pair<Faults, const char*>> variants{
       {{.noEpochCheck = true}, "an effect of an older epoch after a newer one"},
-      {{.leaseFromAnswer = true}, "two members may act for one task at once"},
-      {{.forgetAtRestart = true}, "an effect of an older epoch after a newer one"}};
-  for (const auto& [faults, harm] : variants) {
+      {{.leaseFromResponse = true}, "two members may act for one task at once"},
+      {{.marksLostAtRestart = true}, "an effect of an older epoch after a newer one"}};
+  for (const auto& [faults, violation] : variants) {
     Explorer explorer(faults, kDeep);
     explorer.explore();
-    EXPECT_EQ(explorer.harm(), harm);
+    EXPECT_EQ(explorer.violation(), violation);
   }
 }
 
--- a/tests/lease/fencing_gate_test.cpp
+++ b/tests/lease/fencing_gate_test.cpp
@@ -1,4 +1,4 @@
-// Which commands a receiver admits.
+// The fencing gate: which commands it admits, its limit on keys, and rolling marks back.
 #include "lease/fencing_gate.hpp"
 
 #include <gtest/gtest.h>
@@ -11,13 +11,13 @@
 namespace cairnjunction::lease::testing {
 namespace {
 
-FencingToken token(Epoch epoch, Sequence sequence, const Member& from) {
-  return {kList, epoch, sequence, from};
+FencingToken token(Epoch epoch, Sequence sequence, const Member& sender) {
+  return {kList, epoch, sequence, sender};
 }
 
-// Commands of two holders come late, twice and out of their order, some before the receiver knows how far the
-// fleet is. Only what is newer than all before is admitted.
-TEST(FencingGate, AdmitsOnlyWhatIsNewerAndNothingBeforeItHasLearned) {
+// Commands of two holders arrive late, duplicated and reordered, and one before the gate has marks. A command
+// is admitted only if it is newer than all admitted ones, and none is before learn().
+TEST(FencingGate, AdmitsOnlyNewerCommandsAndNoneBeforeItHasMarks) {
   FencingGate gate;
   EXPECT_EQ(gate.admit(token(9, 9, kMemberA)), FencingResult::notReady);
   gate.learn({{kList, {3, 5, {}}}});
@@ -27,16 +27,16 @@
       {3, 7, kMemberB, FencingResult::conflictingHolder}, {5, 1, kMemberB, FencingResult::accepted},
       {4, 9, kMemberA, FencingResult::staleEpoch},        {5, 3, kMemberB, FencingResult::accepted},
       {5, 2, kMemberB, FencingResult::staleSequence}};
-  for (const auto& [epoch, sequence, from, expected] : steps)
-    EXPECT_EQ(gate.admit(token(epoch, sequence, from)), expected) << epoch << " " << sequence;
+  for (const auto& [epoch, sequence, sender, expected] : steps)
+    EXPECT_EQ(gate.admit(token(epoch, sequence, sender)), expected) << epoch << " " << sequence;
   EXPECT_EQ(gate.rejectedCount(), 7U);
   gate.learn({{kList, {4, 0, {}}}});
-  EXPECT_EQ(gate.marks().at(kList).epoch, 5U) << "marks only grow";
+  EXPECT_EQ(gate.marks().at(kList).epoch, 5U) << "a mark never decreases";
 }
 
-// Commands of twice as many keys as are kept come in.
-// The keys that are kept go on, and of another one nothing is admitted.
-TEST(FencingGate, KeepsNoMoreKeysThanItsBound) {
+// Commands of twice as many keys as the limit arrive. Keys that have a mark are still admitted, further keys
+// are rejected.
+TEST(FencingGate, RejectsFurtherKeysAtItsLimit) {
   FencingGate gate;
   gate.learn({{kList, {4, 0, {}}}});
   for (std::uint32_t shard = 0; shard < 2 * FencingGate::kKeysMost; ++shard)
@@ -46,9 +46,9 @@
   EXPECT_EQ(gate.admit(token(5, 1, kMemberA)), FencingResult::accepted);
 }
 
-// The mark of a command could not be stored, so it had no effect.
-// Rolled back, the gate admits the same command again.
-TEST(FencingGate, WhatWasRolledBackIsAdmittedAgain) {
+// The mark of a command could not be stored, so the command had no effect and the mark is rolled back. The
+// gate must admit the same command again.
+TEST(FencingGate, ACommandIsAdmittedAgainAfterRollBack) {
   FencingGate gate;
   gate.learn({});
   const auto stored = gate.marks();
--- a/tests/lease/held_lease_test.cpp
+++ b/tests/lease/held_lease_test.cpp
@@ -1,4 +1,4 @@
-// How long a holder may act.
+// A held lease: how long its holder may act.
 #include "lease/held_lease.hpp"
 
 #include <gtest/gtest.h>
@@ -8,9 +8,9 @@
 namespace cairnjunction::lease::testing {
 namespace {
 
-// A holder is granted a lease, hears late answers to older questions, and releases it.
-// It may act from its question on for less than the lease, and after the release only under another epoch.
-TEST(HeldLease, CountsFromBeforeItAskedAndNeverLongerThanTheLog) {
+// A holder is granted a lease, receives late responses to older requests, and releases the lease. It may act
+// for less than the lease's duration from its request on, and after the release only under a newer epoch.
+TEST(HeldLease, IsValidFromTheRequestOnAndEndsBeforeTheLeaseDoes) {
   HeldLease lease;
   const Duration valid = kLease - kLease / kClockDriftDivisor;
   EXPECT_FALSE(lease.isValid(bootTime(0)));
@@ -18,15 +18,15 @@
   EXPECT_TRUE(lease.isValid(bootTime(1000) + valid - Duration(1)));
   EXPECT_FALSE(lease.isValid(bootTime(1000) + valid));
   lease.granted(4, 0, bootTime(500), kLease);
-  EXPECT_EQ(lease.until(), bootTime(1000) + valid) << "an answer to an older question";
+  EXPECT_EQ(lease.until(), bootTime(1000) + valid) << "a response to an older request";
   lease.granted(3, 0, bootTime(9000), kLease);
-  EXPECT_FALSE(lease.isValid(bootTime(9000))) << "of an epoch that is over";
+  EXPECT_FALSE(lease.isValid(bootTime(9000))) << "a response of an older epoch";
   EXPECT_EQ(lease.nextToken(kList, kMemberA, bootTime(2000))->sequence, 1U);
   EXPECT_EQ(lease.nextToken(kList, kMemberA, bootTime(2000))->sequence, 2U);
   lease.end();
   EXPECT_FALSE(lease.nextToken(kList, kMemberA, bootTime(2000)));
   lease.granted(4, 0, bootTime(2000), kLease);
-  EXPECT_FALSE(lease.held()) << "what was released comes back only with another epoch";
+  EXPECT_FALSE(lease.held()) << "a released lease starts again only with a newer epoch";
   lease.granted(5, 0, bootTime(2000), kLease);
   EXPECT_EQ(lease.nextToken(kList, kMemberA, bootTime(2000))->sequence, 1U);
 }
--- a/tests/lease/lease_assigner_test.cpp
+++ b/tests/lease/lease_assigner_test.cpp
@@ -1,4 +1,4 @@
-// Who is granted what is free.
+// To which candidates free keys are granted.
 #include "lease/lease_assigner.hpp"
 
 #include <gtest/gtest.h>
@@ -12,9 +12,8 @@
 
 const std::vector<TaskSpec> kProbes{{"probe", 20, kLease, "", ""}};
 
-// Five members are connected, and twenty shards are free.
-// Each is granted four, and then none is left.
-TEST(LeaseAssigner, SpreadsTasksEvenly) {
+// Five members are connected, and twenty shards are free. Each member is granted four.
+TEST(LeaseAssigner, SpreadsShardsEvenly) {
   LeaseLog log;
   const std::vector<Candidate> candidates = joinedCandidates(log, 5);
   for (const LeaseGranted& grant : assignLeases(log, kProbes, candidates, log.at)) log(grant);
@@ -22,10 +21,10 @@
   EXPECT_TRUE(assignLeases(log, kProbes, candidates, log.at).empty()) << "all have a holder";
 }
 
-// Grants what is due, for 300 s: m0 dies with each lease that it is granted, the others release theirs at
-// once. How often m0 was granted one.
-int grantsToFailing(LeaseLog& log, const std::vector<TaskSpec>& specs,
-                    const std::vector<Candidate>& candidates) {
+// Applies the proposed grants for 300 s. m0 crashes and lets each of its leases expire; the others release
+// theirs at once. Returns the number of leases that were granted to m0.
+int countGrantsToFailingMember(LeaseLog& log, const std::vector<TaskSpec>& specs,
+                               const std::vector<Candidate>& candidates) {
   int grants = 0;
   for (int i = 0; i < 100; ++i) {
     for (const LeaseGranted& grant : assignLeases(log, specs, candidates, log.at)) {
@@ -38,22 +37,22 @@
   return grants;
 }
 
-// One of five members dies with each lease that it is granted.
-// It is granted one ever later, but gets it where nobody else is left.
-TEST(LeaseAssigner, BacksOffFromWhoFails) {
+// One of five members crashes with each lease that it is granted. Its backoff grows, but it is granted the
+// lease if it is the only candidate.
+TEST(LeaseAssigner, AFailingMemberBacksOffUnlessItIsTheOnlyCandidate) {
   LeaseLog log;
   const std::vector<Candidate> candidates = joinedCandidates(log, 5);
   for (const LeaseGranted& grant : assignLeases(log, kProbes, candidates, log.at)) log(grant);
   const std::vector<TaskSpec> listOnly{{"list", 1, kLease, "", ""}};
-  const int failures = grantsToFailing(log, listOnly, candidates);
+  const int failures = countGrantsToFailingMember(log, listOnly, candidates);
   EXPECT_GE(failures, 2);
-  EXPECT_LE(failures, 8) << "with twice as long a backoff after each";
-  EXPECT_EQ(assignLeases(log, listOnly, {candidates[0]}, log.at).size(), 1U) << "nobody else is left";
+  EXPECT_LE(failures, 8) << "the backoff doubles after each failure";
+  EXPECT_EQ(assignLeases(log, listOnly, {candidates[0]}, log.at).size(), 1U) << "it is the only candidate";
 }
 
-// The holder of the list releases it, twenty times.
-// The standby, which is always another member, is granted it next.
-TEST(LeaseAssigner, TheStandbySucceedsAndIsNotTheHolder) {
+// The holder of a task releases it, twenty times. The holder of the standby task is always another member,
+// and is granted the task next.
+TEST(LeaseAssigner, TheStandbyIsAnotherMemberAndSucceedsTheHolder) {
   LeaseLog log;
   const std::vector<Candidate> candidates = joinedCandidates(log, 4);
   const std::vector<TaskSpec> specs{{"list", 1, kLease, "list-standby", ""},
@@ -71,9 +70,7 @@
   }
 }
 
-// No member is connected.
-// Nothing is granted.
-TEST(LeaseAssigner, WithoutACandidateNothingIsGranted) {
+TEST(LeaseAssigner, GrantsNothingWithoutACandidate) {
   const LeaseLog log;
   EXPECT_TRUE(assignLeases(log, {{"list", 1, kLease, "", ""}}, {}, log.at).empty());
 }
--- a/tests/lease/lease_log.hpp
+++ b/tests/lease/lease_log.hpp
@@ -1,4 +1,4 @@
-// A lease table with the log's time beside it, and the names that the tests of the package share.
+// A lease table together with the log's time, and constants shared by the tests of the package.
 #pragma once
 
 #include <cstdint>
@@ -19,13 +19,13 @@
 inline LogTime logTime(std::int64_t milliseconds) { return LogTime(Duration(milliseconds)); }
 inline BootTime bootTime(std::int64_t milliseconds) { return BootTime(Duration(milliseconds)); }
 
-// Applies each change at the log's time, which the test moves on.
+// Applies each change at the time `at`, which the test advances.
 struct LeaseLog : LeaseTable {
   LogTime at = logTime(1000);
   ApplyResult operator()(Change change) { return apply({at, std::move(change)}); }
 };
 
-// m0, m1 and so on, joined on the log.
+// Joins `count` members, named m0, m1 and so on.
 inline std::vector<Candidate> joinedCandidates(LeaseLog& log, int count) {
   std::vector<Candidate> candidates;
   for (int i = 0; i < count; ++i) {
--- a/tests/lease/lease_table_test.cpp
+++ b/tests/lease/lease_table_test.cpp
@@ -1,4 +1,4 @@
-// The lease table: one holder a key, epochs, bounds, and the same state on each coordinator.
+// The lease table: one holder for each key, epochs, limits, and equal state on each coordinator.
 #include "lease/lease_table.hpp"
 
 #include <gtest/gtest.h>
@@ -16,49 +16,50 @@
 namespace cairnjunction::lease::testing {
 namespace {
 
-// One member after another holds a key: by a lease that ends unrenewed, by release, and by leaving.
-// Nobody else is granted it before, and each grant has the next epoch.
-TEST(LeaseTable, OneHolderUntilItsLeaseEndsAndEachGrantHasAnEpochAndAReason) {
+// The leases of successive holders expire, are released, and end when the holder leaves. No other member is
+// granted the key before, and each grant has the next epoch.
+TEST(LeaseTable, AKeyHasOneHolderAndEachGrantTheNextEpoch) {
   LeaseLog log;
   log(MemberJoined{kMemberA, ""});
   log(MemberJoined{kMemberB, ""});
   EXPECT_EQ(log(LeaseGranted{kList, kMemberA, kLease}).held.at(0).epoch, 1U);
-  EXPECT_EQ(log(LeaseGranted{kList, kMemberB, kLease}).rejection, RejectionReason::heldByAnother);
+  EXPECT_EQ(log(LeaseGranted{kList, kMemberB, kLease}).rejection, RejectionReason::alreadyHeld);
   log.at += kLease - Duration(1);
   EXPECT_EQ(log(LeasesRenewed{kMemberA, {{kList, 1, 7}}, kLease}).held.size(), 1U);
   log.at += kLease - Duration(1);
-  EXPECT_EQ(log(LeaseGranted{kList, kMemberB, kLease}).rejection, RejectionReason::heldByAnother);
+  EXPECT_EQ(log(LeaseGranted{kList, kMemberB, kLease}).rejection, RejectionReason::alreadyHeld);
   log.at += Duration(1);
   EXPECT_EQ(log(LeasesRenewed{kMemberA, {{kList, 1, 8}}, kLease}).rejection, RejectionReason::notHolder)
       << "its lease has ended";
   EXPECT_EQ(log(LeaseGranted{kList, kMemberB, kLease}).held.at(0).epoch, 2U);
   EXPECT_EQ(log.failureHistory("a", "list").consecutiveFailures, 1U);
   EXPECT_EQ(log(LeaseReleased{kList, 1, kMemberA}).rejection, RejectionReason::notHolder)
-      << "an earlier holder releases nothing";
+      << "the holder of an earlier epoch releases nothing";
   EXPECT_EQ(log(LeaseReleased{kList, 2, kMemberB}).rejection, RejectionReason::none);
   EXPECT_EQ(log.find(kList)->reason, LeaseChangeReason::released);
   EXPECT_EQ(log(LeaseGranted{kList, kMemberA, kLease}).held.at(0).epoch, 3U) << "at once";
   log(MemberLeft{kMemberA});
   EXPECT_EQ(log.find(kList)->reason, LeaseChangeReason::left);
-  EXPECT_EQ(log.find(kList)->epoch, 3U) << "what receivers compare with outlives its holder";
+  EXPECT_EQ(log.find(kList)->epoch, 3U) << "the epoch is kept after the holder left";
 }
 
-// A process is replaced by another one under the same name while it holds a key, and may still run.
-// The new one has none of its leases, and is granted none of its keys before they end.
-TEST(LeaseTable, AProcessOfTheSameNameHoldsNothingOfTheLastOne) {
+// While a process holds a key, another process joins under the same name; the first one may still be running.
+// The new process does not take over the lease, and is not granted the key before the lease ends.
+TEST(LeaseTable, ANewProcessOfAMemberDoesNotTakeOverItsLeases) {
   LeaseLog log;
   log(MemberJoined{kMemberA, ""});
   log(LeaseGranted{kList, kMemberA, kLease});
   log(MemberJoined{{"a", 9}, ""});
-  EXPECT_EQ(log(LeasesRenewed{kMemberA, {{kList, 1, 0}}, kLease}).rejection, RejectionReason::supplanted);
+  EXPECT_EQ(log(LeasesRenewed{kMemberA, {{kList, 1, 0}}, kLease}).rejection,
+            RejectionReason::staleIncarnation);
   EXPECT_EQ(log(LeasesRenewed{{"a", 9}, {{kList, 1, 0}}, kLease}).rejection, RejectionReason::notHolder);
-  EXPECT_EQ(log(LeaseGranted{kList, {"a", 9}, kLease}).rejection, RejectionReason::heldByAnother)
-      << "the last one may still live";
+  EXPECT_EQ(log(LeaseGranted{kList, {"a", 9}, kLease}).rejection, RejectionReason::alreadyHeld)
+      << "the earlier process may still be running";
 }
 
-// Members send names, incarnations and durations out of range, and more keys and names than there is room
-// for. Each is rejected by its reason, and who holds something is never forgotten.
-TEST(LeaseTable, WhatIsInvalidOrPastABoundIsRejected) {
+// Entries with names, incarnations or durations out of range are rejected as invalid, and a grant to a member
+// that never joined as staleIncarnation.
+TEST(LeaseTable, InvalidEntriesAreRejected) {
   LeaseLog log;
   log(MemberJoined{kMemberA, ""});
   for (const Change& invalid : std::initializer_list<Change>{
@@ -68,28 +69,28 @@
            LeaseGranted{kList, kMemberA, kLeaseMost + Duration(1)},
            LeasesRenewed{kMemberA, {}, Duration(-1)}})
     EXPECT_EQ(log(invalid).rejection, RejectionReason::invalid);
-  EXPECT_EQ(log(LeaseGranted{kList, kMemberB, kLease}).rejection, RejectionReason::supplanted)
-      << "never joined";
+  EXPECT_EQ(log(LeaseGranted{kList, kMemberB, kLease}).rejection, RejectionReason::staleIncarnation)
+      << "it never joined";
 }
 
-// A member holds as many keys as there is room for, and more members join than there is room for.
-// One more key is rejected; a name that holds nothing makes room for the next, and who holds something is
-// never forgotten.
-TEST(LeaseTable, WhatIsPastABoundIsRejectedOrForgotten) {
+// One member holds kKeysMost keys, and more than kMaxMembers members join. A further key is rejected; a
+// further member evicts one without leases, and a member that holds leases is never evicted.
+TEST(LeaseTable, AtItsLimitsItRejectsKeysAndEvictsMembersWithoutLeases) {
   LeaseLog log;
   log(MemberJoined{kMemberA, ""});
   for (std::uint32_t i = 0; i < kKeysMost; ++i) log(LeaseGranted{{"d", i}, kMemberA, kLease});
-  EXPECT_EQ(log(LeaseGranted{kList, kMemberA, kLease}).rejection, RejectionReason::full);
-  for (std::size_t i = 0; i < kMembersMost + 10; ++i)
+  EXPECT_EQ(log(LeaseGranted{kList, kMemberA, kLease}).rejection, RejectionReason::tableFull);
+  for (std::size_t i = 0; i < kMaxMembers + 10; ++i)
     EXPECT_EQ(log(MemberJoined{{"m" + std::to_string(i), 1}, ""}).rejection, RejectionReason::none);
-  EXPECT_EQ(log.incarnationOf("a"), 1U) << "who holds something is not forgotten";
+  EXPECT_EQ(log.incarnationOf("a"), 1U) << "a member that holds leases is not evicted";
 }
 
-// Random entries, and what the table is to make of them.
+// Generates random entries, valid and invalid.
 class RandomEntries {
  public:
   explicit RandomEntries(std::uint64_t seed) : random_(seed) {}
 
+  // A random number from 0 to below - 1.
   std::uint64_t draw(std::uint64_t below) { return random_() % below; }
 
   LogEntry next(const std::map<LeaseKey, Epoch>& epochs) {
@@ -114,14 +115,14 @@
   LogTime now_{};
 };
 
-// What an observer of the table remembers of a key.
+// The last state of a key that an observer has seen.
 struct Observed {
   Epoch epoch = 0;
   Member holder;
   LogTime expiresAt{};
 };
 
-// Two coordinators that apply the same entries, and an observer of the first.
+// Two coordinators that apply the same entries, and an observer that checks the first one's records.
 class ReplicatedTables {
  public:
   std::map<LeaseKey, Epoch> epochs() const {
@@ -130,10 +131,10 @@
     return epochs;
   }
 
-  void apply(const std::string& bytes, bool restart) {
+  void apply(const std::string& bytes, bool restartReplica) {
     const LeaseTableState before = table_.state();
     const ApplyResult result = table_.apply(decode(bytes));
-    if (restart) replica_.restore(std::string(replica_.snapshot()));
+    if (restartReplica) replica_.restore(std::string(replica_.snapshot()));
     replica_.apply(decode(bytes));
     ASSERT_EQ(table_, replica_);
     ASSERT_EQ(LeaseTableInvariants::violationsIn(table_.state()), std::vector<std::string>{});
@@ -155,7 +156,7 @@
   std::map<LeaseKey, Observed> observed_;
 };
 
-void expectPromises(std::uint64_t seed) {
+void expectGuarantees(std::uint64_t seed) {
   RandomEntries entries(seed);
   ReplicatedTables tables;
   for (int i = 0; i < 2000; ++i) {
@@ -165,15 +166,15 @@
   }
 }
 
-// Random entries: the promises hold at each step, and any coordinator comes to the same state, by the log or
-// by a snapshot and the rest of the log.
-TEST(LeaseTable, HoldsItsPromisesUnderRandomEntriesAndSnapshots) {
-  for (std::uint64_t seed = 1; seed <= 20; ++seed) expectPromises(seed);
+// After each of many random entries, the guarantees hold and both coordinators have the same state, although
+// one of them is restored from a snapshot now and then.
+TEST(LeaseTable, KeepsItsGuaranteesUnderRandomEntriesAndSnapshots) {
+  for (std::uint64_t seed = 1; seed <= 20; ++seed) expectGuarantees(seed);
 }
 
-// A holder keeps a task for ten of its leases, after it had failed at it.
-// Its failures are forgotten; a lease less and they are not.
-TEST(LeaseTable, AHolderThatKeepsItsLeaseIsForgivenItsFailures) {
+// A holder that failed at a task before now keeps its lease for ten lease durations. Its failures are cleared
+// then, and not before.
+TEST(LeaseTable, FailuresAreClearedAfterTenLeaseDurations) {
   LeaseLog log;
   log(MemberJoined{kMemberA, ""});
   log(LeaseGranted{kList, kMemberA, kLease});
