--- a/src/common/callback_guard.hpp
+++ b/src/common/callback_guard.hpp
@@ -1,4 +1,4 @@
-// For what an event loop calls later on behalf of an object that may be gone by then.
+// Guards callbacks of an event loop against the destruction of the object that they use.
 #pragma once
 
 #include <memory>
@@ -6,11 +6,11 @@
 
 namespace cairnjunction {
 
-// A member of that object: functions that it guards do nothing once it is destroyed. Declared last, it is
-// destroyed before what the functions use. For one thread.
+// A member of that object. The functions that it guards do nothing once it is destroyed. Declare it as the
+// last member, so that it is destroyed before the members that the functions use. Not thread-safe.
 class CallbackGuard {
  public:
-  // `function` with a check ahead of each call.
+  // Wraps `function` so that a call does nothing if the guard was destroyed.
   template <class Function>
   auto guard(Function function) const {
     return [alive = std::weak_ptr<const char>(token_),
--- a/src/common/numeric.hpp
+++ b/src/common/numeric.hpp
@@ -1,4 +1,4 @@
-// Arithmetic on times, hashes and samples; the same on every machine.
+// Arithmetic on durations, hashes and samples, with the same results on every machine.
 #pragma once
 
 #include <algorithm>
@@ -14,12 +14,12 @@
 
 inline double toSeconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
-// Rounded towards zero, to whole nanoseconds.
+// `duration` times `factor`, rounded towards zero to whole nanoseconds.
 inline Duration scaled(Duration duration, double factor) {
   return Duration(static_cast<Duration::rep>(static_cast<double>(duration.count()) * factor));
 }
 
-// Spreads the bits of a number: the finisher of splitmix64.
+// Mixes the bits of a number with the finalizer of splitmix64.
 inline std::uint64_t mix(std::uint64_t bits) {
   bits += 0x9e3779b97f4a7c15ULL;
   bits = (bits ^ (bits >> 30U)) * 0xbf58476d1ce4e5b9ULL;
@@ -27,15 +27,14 @@
   return bits ^ (bits >> 31U);
 }
 
-// FNV-1a, with its bits spread: the same at every gateway.
+// FNV-1a followed by mix(). The same in every gateway.
 inline std::uint64_t hashText(std::string_view text) {
   std::uint64_t hash = 0xcbf29ce484222325ULL;
   for (const char each : text) hash = (hash ^ static_cast<unsigned char>(each)) * 0x100000001b3ULL;
   return mix(hash);
 }
 
-// The value that a share `at`, 0 to 1, of the others lie below; `none` for an empty list. Reorders the
-// values.
+// The quantile `at`, from 0 to 1, of the values; `none` if there are none. Reorders the values.
 inline double quantile(std::vector<double>& values, double at, double none) {
   if (values.empty()) return none;
   const auto nth = values.begin() + static_cast<std::ptrdiff_t>(at * static_cast<double>(values.size() - 1));
--- a/src/lease/codec.hpp
+++ b/src/lease/codec.hpp
@@ -11,12 +11,13 @@
 namespace cairnjunction::lease {
 
 std::string encode(const LogEntry& entry);
-// Throws std::invalid_argument if the bytes are not an entry written by encode().
+// Throws std::invalid_argument if the bytes do not have the format of an entry. LeaseTable::apply() checks the
+// ranges of its values.
 LogEntry decode(std::string_view bytes);
 
 std::string encodeSnapshot(const LeaseTableState& state);
-// Throws std::invalid_argument if the bytes are not a snapshot written by encodeSnapshot(), or exceed the
-// limits of the lease table.
+// Throws std::invalid_argument if the bytes do not have the format of a snapshot, or exceed the limits of the
+// lease table. Other invariants are not checked.
 LeaseTableState decodeSnapshot(std::string_view bytes);
 
 }  // namespace cairnjunction::lease
--- a/src/limits/request_limiter.cpp
+++ b/src/limits/request_limiter.cpp
@@ -1,3 +1,4 @@
+// Counts requests in rate zones (leaky buckets) and connection zones.
 #include "limits/request_limiter.hpp"
 
 #include <algorithm>
@@ -19,15 +20,15 @@
 std::optional<int> RequestLimiter::admit(Timestamp now, const route::Decision& decision) {
   const std::optional<std::vector<double>> excess = excessAfter(now, decision);
   if (!excess) return decision.location->rateStatus;
-  if (!hasRoomForConnections(decision)) return decision.location->connectionStatus;
+  if (!hasConnectionCapacity(decision)) return decision.location->connectionStatus;
   for (std::size_t i = 0; i < decision.rates.size(); ++i)
     record(now, rateZones_[decision.rates[i].zone], decision.rates[i].key, (*excess)[i]);
   for (const auto& counted : decision.connections) ++connectionZones_[counted.zone][counted.key];
   return std::nullopt;
 }
 
-// The level of each bucket with this request in it; nothing, if one would be above its burst. A key with no
-// bucket yet is at its rate, so its first request adds nothing.
+// Returns the excess of each bucket including this request, or nullopt if one would exceed its burst. A key
+// without a bucket is at its rate, so its first request adds no excess.
 std::optional<std::vector<double>> RequestLimiter::excessAfter(Timestamp now,
                                                                const route::Decision& decision) const {
   std::vector<double> excess;
@@ -46,7 +47,7 @@
   return excess;
 }
 
-bool RequestLimiter::hasRoomForConnections(const route::Decision& decision) const {
+bool RequestLimiter::hasConnectionCapacity(const route::Decision& decision) const {
   return std::all_of(decision.connections.begin(), decision.connections.end(), [&](const auto& counted) {
     const auto known = connectionZones_[counted.zone].find(counted.key);
     return known == connectionZones_[counted.zone].end() || known->second < counted.most;
--- a/src/pools/passive_health_filter.cpp
+++ b/src/pools/passive_health_filter.cpp
@@ -1,3 +1,4 @@
+// Counts failures of servers and selects those to offer.
 #include "pools/passive_health_filter.hpp"
 
 #include <algorithm>
@@ -11,8 +12,8 @@
 
 namespace {
 
-bool anyOf(const std::vector<bool>& chosen) {
-  return std::find(chosen.begin(), chosen.end(), true) != chosen.end();
+bool isAnySet(const std::vector<bool>& selected) {
+  return std::find(selected.begin(), selected.end(), true) != selected.end();
 }
 
 }  // namespace
@@ -40,7 +41,7 @@
     if (state.unavailableUntil == Timestamp{}) state.failures = 0;
     return false;
   }
-  // As documented for nginx, failures of a single server are not counted.
+  // As in nginx's documentation, failures of a pool's only server are not counted.
   if (settings.failsMost == 0 || servers_.size() == 1 || state.unavailableUntil > Timestamp{}) return false;
   if (state.failures == 0 || now - state.firstFailureAt > settings.failTimeout) {
     state.failures = 0;
@@ -53,13 +54,13 @@
 }
 
 bool PassiveHealthFilter::onTick(Timestamp now) {
-  bool back = false;
+  bool becameAvailable = false;
   for (ServerState& state : serverStates_)
     if (state.unavailableUntil > Timestamp{} && now >= state.unavailableUntil) {
       state = ServerState{};
-      back = true;
+      becameAvailable = true;
     }
-  return back && updateOffered();
+  return becameAvailable && updateOffered();
 }
 
 std::optional<Timestamp> PassiveHealthFilter::nextReturnAt() const {
@@ -81,19 +82,20 @@
     return servers_[server].backup && available(server);
   };
   const auto any = [](std::size_t) { return true; };
-  std::vector<bool> next = serversThat(isAvailablePrimary);
-  if (!anyOf(next)) next = serversThat(isAvailableBackup);
-  if (!anyOf(next)) next = serversThat(any);
+  std::vector<bool> next = selectServers(isAvailablePrimary);
+  if (!isAnySet(next)) next = selectServers(isAvailableBackup);
+  if (!isAnySet(next)) next = selectServers(any);
   if (next == offered_) return false;
   offered_ = std::move(next);
   return true;
 }
 
-std::vector<bool> PassiveHealthFilter::serversThat(const std::function<bool(std::size_t)>& holds) const {
-  std::vector<bool> chosen(servers_.size());
+std::vector<bool> PassiveHealthFilter::selectServers(
+    const std::function<bool(std::size_t)>& predicate) const {
+  std::vector<bool> selected(servers_.size());
   for (std::size_t server = 0; server < servers_.size(); ++server)
-    chosen[server] = !servers_[server].down && holds(server);
-  return chosen;
+    selected[server] = !servers_[server].down && predicate(server);
+  return selected;
 }
 
 }  // namespace cairnjunction::pools
--- a/src/pools/passive_health_filter.hpp
+++ b/src/pools/passive_health_filter.hpp
@@ -1,7 +1,7 @@
-// Which servers of a pool of fixed addresses are offered to its load balancer: not those marked down, backups
-// only while no primary is available, and none for a time after repeated failures (as nginx documents
-// `server` in ngx_http_upstream_module). The load balancer picks among those that are offered. No I/O, reads
-// no clock.
+// Passive health filter: decides which servers of a pool with fixed addresses are offered to its load
+// balancer, as nginx documents `server` in ngx_http_upstream_module. Servers marked down are not offered,
+// backups only while no primary is available, and after repeated failures a server is not offered for a time.
+// Does no I/O and reads no clock.
 #pragma once
 
 #include <cstddef>
@@ -15,31 +15,32 @@
 
 namespace cairnjunction::pools {
 
-// Whether an attempt's outcome counts as a failure of its server: no response, or none that could be read.
+// Whether an attempt's outcome counts as a failure of its server: it gave no response, or a malformed one.
 bool isServerFailure(policy::Outcome outcome, policy::FailureReason reason);
 
 class PassiveHealthFilter {
  public:
   explicit PassiveHealthFilter(std::vector<route::PoolServer> servers);
 
-  // Both return whether offered() has changed. `now` never goes back.
+  // Records the result of an attempt, and makes servers available again whose time is over. `server` is an
+  // index. Both return whether offered() has changed. `now` must not decrease between calls.
   bool onResult(policy::Timestamp now, std::size_t server, bool failure);
   bool onTick(policy::Timestamp now);
 
-  // By server. While every server that is not down is unavailable for its failures, all of them are offered:
-  // an attempt that may fail beats none.
+  // Whether each server is offered, by index. If all servers that are not marked down are unavailable, all of
+  // them are offered, since an attempt that may fail is better than none.
   const std::vector<bool>& offered() const { return offered_; }
-  std::optional<policy::Timestamp> nextReturnAt() const;  // when onTick is due; nothing: it is not
+  std::optional<policy::Timestamp> nextReturnAt() const;  // when onTick() is due; nullopt: never
 
  private:
   struct ServerState {
     std::uint32_t failures = 0;  // within the server's failTimeout of firstFailureAt
     policy::Timestamp firstFailureAt{};
-    policy::Timestamp unavailableUntil{};  // zero: it is available
+    policy::Timestamp unavailableUntil{};  // zero: available
   };
-  bool updateOffered();  // whether it has changed
-  // Of the servers that are not marked down, by server.
-  std::vector<bool> serversThat(const std::function<bool(std::size_t)>& holds) const;
+  bool updateOffered();  // returns whether it has changed
+  // Whether each server is not marked down and fulfills `predicate`, by index.
+  std::vector<bool> selectServers(const std::function<bool(std::size_t)>& predicate) const;
 
   std::vector<route::PoolServer> servers_;
   std::vector<ServerState> serverStates_;
--- a/src/pools/shared_quota.hpp
+++ b/src/pools/shared_quota.hpp
@@ -1,5 +1,5 @@
-// A quota that several pools share so that none of them can exhaust it: each is guaranteed a part, and the
-// rest is borrowed by whoever comes first. No I/O.
+// A quota shared by several pools, of which none can exhaust it: each pool has a guaranteed part, and the
+// rest is borrowed first come, first served. Does no I/O.
 #pragma once
 
 #include <algorithm>
@@ -11,13 +11,14 @@
 
 class SharedQuota {
  public:
-  // Half of `total` is divided evenly among `pools` as their guaranteed parts. A single pool has all of it.
+  // Divides half of `total` evenly among the `pools` as their guaranteed parts. A single pool is guaranteed
+  // all of it.
   SharedQuota(std::uint64_t total, std::size_t pools)
       : guaranteed_(pools > 1 ? total / (2 * pools) : total),
         shared_(total - guaranteed_ * pools),
         held_(pools, 0) {}
 
-  // False, and nothing is acquired, if less than `amount` is left for this pool.
+  // Returns false, and acquires nothing, if less than `amount` is available to the pool.
   bool acquire(std::size_t pool, std::uint64_t amount) {
     const std::uint64_t before = borrowedPart(held_[pool]), after = borrowedPart(held_[pool] + amount);
     if (borrowed_ + (after - before) > shared_) return false;
@@ -25,22 +26,24 @@
     held_[pool] += amount;
     return true;
   }
-  // Returns a part of what acquire() gave.
+  // Releases up to `amount` of what the pool has acquired.
   void release(std::size_t pool, std::uint64_t amount) {
-    const std::uint64_t left = held_[pool] - std::min(amount, held_[pool]);
-    borrowed_ -= borrowedPart(held_[pool]) - borrowedPart(left);
-    held_[pool] = left;
+    const std::uint64_t remaining = held_[pool] - std::min(amount, held_[pool]);
+    borrowed_ -= borrowedPart(held_[pool]) - borrowedPart(remaining);
+    held_[pool] = remaining;
   }
+  // The amount that the pool has acquired.
   std::uint64_t held(std::size_t pool) const { return held_[pool]; }
+  // The guaranteed part of each pool.
   std::uint64_t guaranteed() const { return guaranteed_; }
 
  private:
   std::uint64_t borrowedPart(std::uint64_t held) const { return held > guaranteed_ ? held - guaranteed_ : 0; }
 
-  std::uint64_t guaranteed_;         // for each pool
-  std::uint64_t shared_;             // beyond the guaranteed parts of all
-  std::uint64_t borrowed_ = 0;       // of shared_, by all pools; never more than it
-  std::vector<std::uint64_t> held_;  // by pool
+  std::uint64_t guaranteed_;         // part of each pool
+  std::uint64_t shared_;             // total without the guaranteed parts
+  std::uint64_t borrowed_ = 0;       // by all pools; at most shared_
+  std::vector<std::uint64_t> held_;  // acquired amount, by pool
 };
 
 }  // namespace cairnjunction::pools
--- a/src/toml/reader.cpp
+++ b/src/toml/reader.cpp
@@ -1,4 +1,4 @@
-// Reads files that people write in TOML.
+// Parses TOML files and checks the types and limits of their values.
 #include "toml/reader.hpp"
 
 #include <fstream>
@@ -21,9 +21,9 @@
 ::toml::table parse(const std::string& text, const std::string& name) {
   try {
     return ::toml::parse(text, name);
-  } catch (const ::toml::parse_error& bad) {
-    throw BadFile(name + ":" + std::to_string(bad.source().begin.line) + ": " +
-                  std::string(bad.description()));
+  } catch (const ::toml::parse_error& error) {
+    throw BadFile(name + ":" + std::to_string(error.source().begin.line) + ": " +
+                  std::string(error.description()));
   }
 }
 
@@ -41,9 +41,9 @@
   return table_.get(key);
 }
 
-std::string Reader::text(const char* key, const char* otherwise) {
+std::string Reader::text(const char* key, const char* defaultValue) {
   const ::toml::node* node = find(key);
-  if (!node && otherwise) return otherwise;
+  if (!node && defaultValue) return defaultValue;
   if (!node) fail(nullptr, quoted(key) + " is missing");
   const auto value = node->value_exact<std::string>();
   if (!value) fail(node, quoted(key) + " is not a text");
@@ -51,26 +51,26 @@
   return *value;
 }
 
-std::int64_t Reader::number(const char* key, std::int64_t least, std::int64_t most, std::int64_t otherwise) {
+std::int64_t Reader::number(const char* key, std::int64_t min, std::int64_t max, std::int64_t defaultValue) {
   const ::toml::node* node = find(key);
-  if (!node) return otherwise;
+  if (!node) return defaultValue;
   const auto value = node->value_exact<std::int64_t>();
-  if (!value || *value < least || *value > most)
-    fail(node, quoted(key) + " is no number from " + std::to_string(least) + " to " + std::to_string(most));
+  if (!value || *value < min || *value > max)
+    fail(node, quoted(key) + " is no number from " + std::to_string(min) + " to " + std::to_string(max));
   return *value;
 }
 
-double Reader::real(const char* key, double least, double most, double otherwise) {
+double Reader::real(const char* key, double min, double max, double defaultValue) {
   const ::toml::node* node = find(key);
-  if (!node) return otherwise;
+  if (!node) return defaultValue;
   const auto value = node->value<double>();
-  if (!value || !(*value >= least && *value <= most)) fail(node, quoted(key) + " is out of range");
+  if (!value || !(*value >= min && *value <= max)) fail(node, quoted(key) + " is out of range");
   return *value;
 }
 
-bool Reader::flag(const char* key, bool otherwise) {
+bool Reader::flag(const char* key, bool defaultValue) {
   const ::toml::node* node = find(key);
-  if (!node) return otherwise;
+  if (!node) return defaultValue;
   const auto value = node->value_exact<bool>();
   if (!value) fail(node, quoted(key) + " is neither true nor false");
   return *value;
--- a/src/upstream/attempt_deadlines.hpp
+++ b/src/upstream/attempt_deadlines.hpp
@@ -1,4 +1,4 @@
-// The timeouts of an attempt as points in time.
+// The deadlines of an attempt, as points in time of the steady clock.
 #pragma once
 
 #include <algorithm>
@@ -8,6 +8,7 @@
 
 namespace cairnjunction {
 
+// Computed from the timeouts and the start of an attempt.
 struct AttemptDeadlines {
   using Clock = std::chrono::steady_clock;
 
@@ -16,12 +17,12 @@
       : startedAt(now), responseBy(now + std::max(timeouts.response, policy::Duration::zero())) {
     if (timeouts.write != policy::Duration::max()) writtenBy = now + timeouts.write;
   }
-  // The attempt ends then unless it is written to its last byte.
+  // The deadline of an attempt whose last byte is not written yet.
   Clock::time_point unwrittenEnd() const { return std::min(responseBy, writtenBy); }
 
   Clock::time_point startedAt;
-  Clock::time_point responseBy;                            // it ends then, answered or not
-  Clock::time_point writtenBy = Clock::time_point::max();  // max(): no bound of its own
+  Clock::time_point responseBy;                            // the attempt ends then at the latest
+  Clock::time_point writtenBy = Clock::time_point::max();  // max(): no deadline for writing
 };
 
 }  // namespace cairnjunction
--- a/src/upstream/attempt_tracker.hpp
+++ b/src/upstream/attempt_tracker.hpp
@@ -1,4 +1,4 @@
-// The attempts that an upstream has in flight, with the connection of each, and the reports of their ends.
+// Tracks an upstream's attempts in flight and their connections, and reports each attempt's end.
 #pragma once
 
 #include <cstdint>
@@ -18,37 +18,39 @@
   using ConnectionPtr = std::shared_ptr<Connection>;
   using Ended = std::function<void(AttemptOutcome)>;
 
-  explicit AttemptTracker(Ended ended) : ended_(std::move(ended)) {}
+  // `ended` is called with the outcome of each attempt that ends; not empty.
+  explicit AttemptTracker(Ended ended) : onEnded_(std::move(ended)) {}
 
   void add(AttemptKey key, ConnectionPtr connection) { connections_.emplace(key, std::move(connection)); }
   ConnectionPtr find(AttemptKey key) const {  // null: not in flight
     const auto found = connections_.find(key);
     return found == connections_.end() ? nullptr : found->second;
   }
-  // Forgets the attempt, if it was added, and reports its end.
+  // Removes the attempt, if it was added, and reports its end.
   void end(AttemptOutcome outcome) {
     connections_.erase(outcome.key);
-    ended_(std::move(outcome));
+    onEnded_(std::move(outcome));
   }
-  // Reports an attempt for which no connection was begun.
+  // Reports the end of an attempt for which no connection was started.
   void endUnconnected(AttemptKey key, policy::EndpointId endpoint, policy::FailureReason reason) {
     end({key, endpoint, policy::Outcome::connectFailed, {}, {}, reason, policy::ConnectionUse::none});
   }
-  // Forgets all attempts without a report; their connections, some perhaps more than once.
+  // Removes all attempts without reporting them, and returns their connections, which may repeat.
   std::vector<ConnectionPtr> takeAll() {
     std::vector<ConnectionPtr> all;
     for (auto& [key, connection] : std::exchange(connections_, {})) all.push_back(std::move(connection));
     return all;
   }
+  // Ends of attempts are no longer reported.
   void stopReporting() {
-    ended_ = [](const AttemptOutcome&) {};
+    onEnded_ = [](const AttemptOutcome&) {};
   }
 
-  void countWritten() { ++written_; }                 // one was written to its last byte
-  std::uint64_t written() const { return written_; }  // since the start
+  void countWritten() { ++written_; }                 // to be called when an attempt's last byte was written
+  std::uint64_t written() const { return written_; }  // attempts whose last byte was written
 
  private:
-  Ended ended_;                                                                // never empty
+  Ended onEnded_;                                                              // never empty
   std::unordered_map<AttemptKey, ConnectionPtr, AttemptKeyHash> connections_;  // never null
   std::uint64_t written_ = 0;
 };
--- a/src/upstream/connection_counts.hpp
+++ b/src/upstream/connection_counts.hpp
@@ -1,4 +1,4 @@
-// How many connections an upstream has, in all and to each endpoint. No I/O.
+// Counts the connections of an upstream, in total and for each endpoint. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -13,18 +13,18 @@
 
 class ConnectionCounts {
  public:
-  // Called at every change of an endpoint's counts; must not call back into the upstream.
+  // Called at each change of an endpoint's counts. Must not call back into the upstream.
   using Observer = std::function<void(policy::EndpointId, EndpointConnections)>;
 
   void setObserver(Observer observer) { observer_ = std::move(observer); }
 
-  // From here on the endpoint's connections are counted. Also reported if there are none, since an observer
-  // that has no count would go by a guess.
+  // Starts to count the endpoint's connections, and reports the counts at once, even if they are zero:
+  // without a report, an observer would have to guess them.
   void track(policy::EndpointId endpoint) { notify(endpoint, counts_[endpoint]); }
   void untrack(policy::EndpointId endpoint) { counts_.erase(endpoint); }
 
-  // A connection's life. In the total it counts from its opening to its close; in its endpoint's counts only
-  // while the endpoint is tracked.
+  // The states of a connection. It counts in the total from its opening until it is closed, and in its
+  // endpoint's counts only while the endpoint is tracked.
   void onOpening(policy::EndpointId endpoint) {
     ++total_;
     add(endpoint, 1, 0);
@@ -35,13 +35,14 @@
     add(endpoint, -1, established ? -1 : 0);
   }
 
-  // An established connection that only streams an answer is none of its endpoint's: its attempt is over for
-  // the load balancer, which may forget the endpoint and give its id to another one meanwhile.
+  // Excludes an established connection that only streams a response from its endpoint's counts. For the load
+  // balancer its attempt has ended, so the balancer may meanwhile remove the endpoint and reuse its id for
+  // another one.
   void exclude(policy::EndpointId endpoint) { add(endpoint, -1, -1); }
-  void include(policy::EndpointId endpoint) { add(endpoint, 1, 1); }  // again, when it is idle
+  void include(policy::EndpointId endpoint) { add(endpoint, 1, 1); }  // the opposite, when it is idle again
   void onExcludedClosed() { --total_; }
 
-  EndpointConnections of(policy::EndpointId endpoint) const {  // zeros, if it is not tracked
+  EndpointConnections of(policy::EndpointId endpoint) const {  // zeros if it is not tracked
     const auto found = counts_.find(endpoint);
     return found == counts_.end() ? EndpointConnections{} : found->second;
   }
@@ -61,7 +62,7 @@
 
   Observer observer_;
   std::unordered_map<policy::EndpointId, EndpointConnections> counts_;  // of the tracked endpoints
-  std::size_t total_ = 0;  // connections that are not closed, whether their endpoint is tracked or not
+  std::size_t total_ = 0;  // connections that are not closed, including those of untracked endpoints
 };
 
 }  // namespace cairnjunction
--- a/src/upstream/connector.hpp
+++ b/src/upstream/connector.hpp
@@ -1,5 +1,5 @@
-// The beginning of a connection to an endpoint: opens the socket, connects it and says why it did not come
-// up. The time limit is the caller's, which closes the socket when it is over.
+// Connects a socket to an endpoint, and reports why it failed. There is no timeout here: the caller enforces
+// it by closing the socket.
 #pragma once
 
 #include <array>
@@ -13,14 +13,15 @@
 
 namespace cairnjunction {
 
-// Why a connection did not come up, by the system's error: a lack of the gateway's own, silence, or else what
-// the machine or the network answered, which is that nobody takes connections there.
+// Maps the system's error of a failed connect to a reason: a lack of resources of the gateway (noDescriptor),
+// a timeout, or any other error, which means that the endpoint accepts no connections.
 inline policy::FailureReason connectFailureReason(const boost::system::error_code& ec) {
   namespace errc = boost::system::errc;
-  constexpr std::array ownLacks{errc::too_many_files_open, errc::too_many_files_open_in_system,
-                                errc::no_buffer_space, errc::not_enough_memory, errc::address_not_available};
-  for (const errc::errc_t lack : ownLacks)
-    if (ec == lack) return policy::FailureReason::noDescriptor;
+  constexpr std::array localResourceErrors{errc::too_many_files_open, errc::too_many_files_open_in_system,
+                                           errc::no_buffer_space, errc::not_enough_memory,
+                                           errc::address_not_available};
+  for (const errc::errc_t error : localResourceErrors)
+    if (ec == error) return policy::FailureReason::noDescriptor;
   return ec == errc::timed_out ? policy::FailureReason::connectTimeout
                                : policy::FailureReason::connectionRefused;
 }
@@ -30,9 +31,10 @@
   noDescriptor  // no socket could be opened; the handler is not called
 };
 
-// Connects `socket`, which is closed so far, without blocking and with Nagle's algorithm off. `socket` must
-// stay valid until `done(std::optional<policy::FailureReason>)` is called, by the event loop: empty, if the
-// connection is up. It is also called after the socket was closed.
+// Opens `socket`, which must be closed, and connects it asynchronously; it becomes non-blocking, with Nagle's
+// algorithm off. The event loop calls `done(std::optional<policy::FailureReason>)`, with an empty value if
+// the connection is established; it is also called if the socket is closed before. `socket` must stay valid
+// until then.
 template <class Handler>
 ConnectStart beginConnect(boost::asio::ip::tcp::socket& socket, const boost::asio::ip::tcp::endpoint& address,
                           Handler done) {
--- a/src/upstream/descriptor_quota.hpp
+++ b/src/upstream/descriptor_quota.hpp
@@ -1,12 +1,12 @@
-// A share of the process's descriptors, of which several upstreams have one each.
+// One upstream's quota of the process's file descriptors, which several upstreams share.
 #pragma once
 
 namespace cairnjunction {
 
 class DescriptorQuota {
  public:
-  virtual bool acquire() = 0;  // takes one; false: there is none left for this upstream
-  virtual void release() = 0;  // gives one back that was acquired
+  virtual bool acquire() = 0;  // acquires one; false: none is available to this upstream
+  virtual void release() = 0;  // releases one that was acquired
 
  protected:
   ~DescriptorQuota() = default;
--- a/src/upstream/endpoint_table.hpp
+++ b/src/upstream/endpoint_table.hpp
@@ -1,4 +1,4 @@
-// The endpoints that the list names to an upstream, each with connections of it. No I/O.
+// The endpoints of an upstream's endpoint list, with the upstream's connections to each. Does no I/O.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -17,14 +17,14 @@
   using ConnectionPtr = std::shared_ptr<Connection>;
 
   struct Entry {
-    boost::asio::ip::tcp::endpoint address;  // port 0: not known yet
+    boost::asio::ip::tcp::endpoint address;  // port 0: unknown so far
     bool serving = false;                    // attempts may be written to it
-    std::vector<ConnectionPtr> connections;  // those that the upstream keeps here, in its own order
+    std::vector<ConnectionPtr> connections;  // managed by the upstream, in its own order
   };
 
-  // What the list says of an endpoint, which is added if it is new. An address with port 0 is not given, and
-  // stays as it was. `retire(Entry&)` is called first if the endpoint has moved or does not serve: the
-  // connections that it has are of no more use. True if the endpoint had another address before.
+  // Adds or updates an endpoint. An address with port 0 is unknown, and leaves the stored one unchanged. If
+  // the address has changed, or the endpoint does not serve, `retire(Entry&)` is called first, to retire its
+  // connections. Returns whether the endpoint had a different address before.
   template <class Retire>
   bool update(policy::EndpointId endpoint, const boost::asio::ip::tcp::endpoint& address, bool serving,
               Retire retire) {
@@ -41,7 +41,7 @@
   }
   void erase(policy::EndpointId endpoint) { entries_.erase(endpoint); }
 
-  Entry* find(policy::EndpointId endpoint) {  // null: not listed; valid until it is erased
+  Entry* find(policy::EndpointId endpoint) {  // null: not listed; valid until erased
     const auto found = entries_.find(endpoint);
     return found == entries_.end() ? nullptr : &found->second;
   }
@@ -57,7 +57,7 @@
   std::size_t size() const { return entries_.size(); }
 
  private:
-  std::unordered_map<policy::EndpointId, Entry> entries_;  // references stay valid when others come
+  std::unordered_map<policy::EndpointId, Entry> entries_;  // references stay valid when others are added
 };
 
 }  // namespace cairnjunction
--- a/src/upstream/endpoint_upstream.hpp
+++ b/src/upstream/endpoint_upstream.hpp
@@ -1,4 +1,4 @@
-// An upstream whose endpoints come from a list: what the program tells it beside the attempts.
+// The interface of an upstream whose endpoints are given by an endpoint list.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -14,21 +14,22 @@
 class EndpointUpstream : public Upstream {
  public:
   using ConnectionsChanged = ConnectionCounts::Observer;
-  // Called at every change of an endpoint's connections, perhaps from within any function of the upstream; it
-  // must not call back into it.
+  // Sets the function that is called at each change of an endpoint's connections. Any function of the
+  // upstream may call it; it must not call back into the upstream.
   void onConnections(ConnectionsChanged changed) { connectionCounts_.setObserver(std::move(changed)); }
 
-  // An endpoint that the list names. Connections to one that does not serve are closed as they become idle.
-  // An address with port 0 is not given, and stays what it was. True if the endpoint has moved to another
-  // one.
+  // Adds or updates an endpoint. If it does not serve, its connections are closed as they become idle. An
+  // address with port 0 is unknown, and leaves the stored one unchanged. Returns whether the address has
+  // changed.
   virtual bool updateEndpoint(policy::EndpointId endpoint, const boost::asio::ip::tcp::endpoint& address,
                               bool serving) = 0;
-  virtual void removeAllEndpoints() = 0;  // before a whole list: what it leaves out does not serve any more
-  virtual void stop() = 0;                // closes all connections and reports no end of an attempt
+  // To be called before the updates of a full list: endpoints that it does not contain no longer serve.
+  virtual void removeAllEndpoints() = 0;
+  virtual void stop() = 0;  // closes all connections, without reporting the ends of their attempts
   virtual std::size_t endpointCount() const = 0;
-  virtual std::uint64_t attemptsWritten() const = 0;  // to their last byte, since the start
+  virtual std::uint64_t attemptsWritten() const = 0;  // attempts whose last byte was written
   std::size_t connectionCount() const { return connectionCounts_.total(); }
-  EndpointConnections connectionsOf(policy::EndpointId endpoint) const {  // zeros, if it is not known
+  EndpointConnections connectionsOf(policy::EndpointId endpoint) const {  // zeros if it is unknown
     return connectionCounts_.of(endpoint);
   }
 
--- a/src/upstream/idle_connection.hpp
+++ b/src/upstream/idle_connection.hpp
@@ -1,4 +1,4 @@
-// When a connection without attempts is to be given up, and whether it can still be used.
+// When an idle connection must be closed, and whether it can still be used.
 #pragma once
 
 #include <algorithm>
@@ -12,22 +12,23 @@
 
 namespace cairnjunction {
 
-// A connection that the endpoint is just closing fails an attempt that is written to it, and that attempt may
-// have been executed. So an idle connection is closed earlier than the endpoint would by this, or by a fifth
-// of a short idle time.
+// An attempt that is written while the endpoint closes the connection fails, although it may have been
+// executed. So an idle connection is closed this long before the endpoint's idle timeout, or a fifth of the
+// timeout if that is less.
 inline constexpr policy::Duration kIdleMargin = std::chrono::seconds(2);
-// How late an idle connection may be closed.
+// How often idle connections are checked: the longest delay of closing one.
 inline constexpr policy::Duration kIdleCheckInterval = std::chrono::milliseconds(250);
 
-// `endpointIdleTimeout`: after which the endpoint closes it; 0: never.
+// Whether an idle connection must be closed. `endpointIdleTimeout` is the time after which the endpoint
+// closes it; 0: never.
 inline bool isIdleTooLong(std::chrono::steady_clock::time_point idleSince,
                           std::chrono::steady_clock::time_point now, policy::Duration endpointIdleTimeout) {
   if (endpointIdleTimeout <= policy::Duration::zero()) return false;
   return now - idleSince >= endpointIdleTimeout - std::min(kIdleMargin, endpointIdleTimeout / 5);
 }
 
-// Whether the peer has neither closed an idle connection nor sent anything unasked, as far as the system
-// knows now: the event loop may come to it only later. `socket` must not block.
+// Whether the peer has neither closed an idle connection nor sent unexpected bytes. Asks the system directly,
+// since the event loop may notice either only later. `socket` must be non-blocking.
 inline bool isOpenAndSilent(boost::asio::ip::tcp::socket& socket) {
   char byte = 0;
   boost::system::error_code ec;
--- a/src/upstream/periodic_timer.hpp
+++ b/src/upstream/periodic_timer.hpp
@@ -1,4 +1,4 @@
-// Calls a function at a fixed interval on an event loop.
+// Calls a function periodically on an event loop. Destroying the timer stops it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,12 +14,12 @@
 
 class PeriodicTimer {
  public:
-  // The first call comes after one interval.
+  // The first call is after one interval.
   PeriodicTimer(boost::asio::io_context& io, policy::Duration interval, std::function<void()> onInterval)
       : timer_(io), interval_(interval), onInterval_(std::move(onInterval)) {
     schedule();
   }
-  // No further call, not even one that is already due.
+  // No call is made after this, not even one that is already due.
   void stop() {
     stopped_ = true;
     timer_.cancel();
@@ -39,7 +39,7 @@
   const policy::Duration interval_;  // from the end of one call to the next
   const std::function<void()> onInterval_;
   bool stopped_ = false;
-  CallbackGuard guard_;  // of the wait
+  CallbackGuard guard_;  // of the pending wait; declared last, see CallbackGuard
 };
 
 }  // namespace cairnjunction
--- a/tests/common/callback_guard_test.cpp
+++ b/tests/common/callback_guard_test.cpp
@@ -1,3 +1,4 @@
+// Guarded callbacks before and after the destruction of their guard.
 #include "common/callback_guard.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +9,7 @@
 namespace cairnjunction::testing {
 namespace {
 
-TEST(CallbackGuard, CallsPassThroughWhileItsObjectLives) {
+TEST(CallbackGuard, CallsAreForwardedWhileTheGuardExists) {
   int sum = 0;
   const CallbackGuard guard;
   const std::function<void(int, int)> add = guard.guard([&](int one, int two) { sum += one + two; });
@@ -17,8 +18,8 @@
   EXPECT_EQ(sum, 10);
 }
 
-// An event loop calls back after the object that asked for it is gone.
-TEST(CallbackGuard, CallsDoNothingOnceItsObjectIsGone) {
+// An event loop runs a callback after the object that registered it was destroyed.
+TEST(CallbackGuard, CallsDoNothingAfterTheGuardIsDestroyed) {
   int calls = 0;
   std::optional<CallbackGuard> guard(std::in_place);
   const std::function<void()> call = guard->guard([&] { ++calls; });
--- a/tests/lease/lease_table_test.cpp
+++ b/tests/lease/lease_table_test.cpp
@@ -172,8 +172,8 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) expectGuarantees(seed);
 }
 
-// A holder that failed at a task before now keeps its lease for ten lease durations. Its failures are cleared
-// then, and not before.
+// After a failure at a task, a holder keeps its lease for ten lease durations. Only then are its failures
+// cleared.
 TEST(LeaseTable, FailuresAreClearedAfterTenLeaseDurations) {
   LeaseLog log;
   log(MemberJoined{kMemberA, ""});
--- a/tests/limits/request_limiter_test.cpp
+++ b/tests/limits/request_limiter_test.cpp
@@ -1,3 +1,4 @@
+// The request limiter: rate, active requests, and the memory limit of a zone.
 #include "limits/request_limiter.hpp"
 
 #include <gtest/gtest.h>
@@ -10,15 +11,15 @@
 using namespace std::chrono_literals;
 using policy::Timestamp;
 
-route::Routes zones(std::uint64_t perMinute, std::uint64_t bytes) {
+route::Routes routesWithZones(std::uint64_t perMinute, std::uint64_t bytes) {
   route::Routes routes;
   routes.rateZones = {{"r", "$uri", perMinute, bytes}};
   routes.connectionZones = {{"c", "$uri", 1 << 20}};
   return routes;
 }
 
-TEST(RequestLimiterTest, ABucketDrainsAtItsRate) {
-  RequestLimiter limiter(zones(60, 1 << 20));  // one a second
+TEST(RequestLimiterTest, RejectsRequestsAboveRateAndBurst) {
+  RequestLimiter limiter(routesWithZones(60, 1 << 20));  // one request per second
   route::Location location;
   location.rateStatus = 429;
   route::Decision decision;
@@ -35,8 +36,8 @@
   EXPECT_EQ(limiter.admit(Timestamp(100s), decision), std::nullopt);
 }
 
-TEST(RequestLimiterTest, ActiveRequestsAreCountedUntilTheyEnd) {
-  RequestLimiter limiter(zones(60, 1 << 20));
+TEST(RequestLimiterTest, LimitsActiveRequestsUntilTheyEnd) {
+  RequestLimiter limiter(routesWithZones(60, 1 << 20));
   route::Location location;
   route::Decision decision;
   decision.location = &location;
@@ -51,8 +52,8 @@
   EXPECT_EQ(limiter.keyCount(), 0u);
 }
 
-TEST(RequestLimiterTest, KeysAreBoundedByTheZonesMemory) {
-  RequestLimiter limiter(zones(60, 10 * RequestLimiter::kBytesPerKey));
+TEST(RequestLimiterTest, MemoryOfAZoneLimitsItsKeys) {
+  RequestLimiter limiter(routesWithZones(60, 10 * RequestLimiter::kBytesPerKey));
   route::Location location;
   route::Decision decision;
   decision.location = &location;
--- a/tests/pools/shared_quota_test.cpp
+++ b/tests/pools/shared_quota_test.cpp
@@ -1,3 +1,4 @@
+// The quota shared by pools.
 #include "pools/shared_quota.hpp"
 
 #include <gtest/gtest.h>
@@ -9,11 +10,11 @@
 namespace cairnjunction::pools {
 namespace {
 
-TEST(SharedQuotaTest, NoPoolTakesAnothersPart) {
-  SharedQuota quota(100, 4);  // 12 each for sure, 52 for whoever comes first
-  std::uint64_t taken = 0;
-  while (quota.acquire(0, 1)) ++taken;
-  EXPECT_EQ(taken, 64u);
+TEST(SharedQuotaTest, APoolCannotAcquireAnothersGuaranteedPart) {
+  SharedQuota quota(100, 4);  // 12 guaranteed to each, 52 to borrow
+  std::uint64_t acquired = 0;
+  while (quota.acquire(0, 1)) ++acquired;
+  EXPECT_EQ(acquired, 64u);
   for (std::size_t pool = 1; pool < 4; ++pool) {
     EXPECT_TRUE(quota.acquire(pool, quota.guaranteed()));
     EXPECT_FALSE(quota.acquire(pool, 1));
@@ -23,7 +24,7 @@
   EXPECT_FALSE(quota.acquire(0, 1));
 }
 
-TEST(SharedQuotaTest, TheOnlyPoolHasAll) {
+TEST(SharedQuotaTest, AnOnlyPoolCanAcquireTheTotal) {
   SharedQuota quota(10, 1);
   EXPECT_TRUE(quota.acquire(0, 10));
   EXPECT_FALSE(quota.acquire(0, 1));
@@ -31,7 +32,7 @@
   EXPECT_EQ(quota.held(0), 0u);
 }
 
-TEST(SharedQuotaTest, WhateverComesTheTotalHoldsAndNothingLeaks) {
+TEST(SharedQuotaTest, RandomUseStaysWithinTheTotalAndLeaksNothing) {
   std::mt19937 random(11);
   SharedQuota quota(1000, 7);
   std::vector<std::vector<std::uint64_t>> held(7);
@@ -42,14 +43,14 @@
       held[pool].pop_back();
     } else {
       const std::uint64_t amount = random() % 60;
-      std::uint64_t before = 0, mine = 0;
-      for (std::size_t p = 0; p < 7; ++p) before += quota.held(p);
-      mine = quota.held(pool);
+      std::uint64_t total = 0, own = 0;
+      for (std::size_t p = 0; p < 7; ++p) total += quota.held(p);
+      own = quota.held(pool);
       if (quota.acquire(pool, amount)) held[pool].push_back(amount);
       else {
-        ASSERT_GT(mine + amount, quota.guaranteed()) << "its own part was refused";
+        ASSERT_GT(own + amount, quota.guaranteed()) << "an amount within its guaranteed part was rejected";
       }
-      ASSERT_LE(before, 1000u);
+      ASSERT_LE(total, 1000u);
     }
   }
   for (std::size_t pool = 0; pool < 7; ++pool) {
--- a/tests/upstream/attempt_deadlines_test.cpp
+++ b/tests/upstream/attempt_deadlines_test.cpp
@@ -1,3 +1,4 @@
+// Deadlines computed from the timeouts of an attempt.
 #include "upstream/attempt_deadlines.hpp"
 
 #include <gtest/gtest.h>
@@ -10,19 +11,19 @@
 
 const Clock::time_point kNow = Clock::time_point() + 1h;
 
-TEST(AttemptDeadlines, WithoutABoundOnWritingTheResponseTimeoutIsTheOnlyOne) {
+TEST(AttemptDeadlines, WithoutAWriteTimeoutOnlyTheResponseTimeoutApplies) {
   const AttemptDeadlines deadlines(AttemptTimeouts(2s), kNow);
   EXPECT_EQ(deadlines.startedAt, kNow);
   EXPECT_EQ(deadlines.responseBy, kNow + 2s);
   EXPECT_EQ(deadlines.unwrittenEnd(), kNow + 2s);
 }
 
-TEST(AttemptDeadlines, AnUnwrittenAttemptEndsAtTheEarlierOfBoth) {
+TEST(AttemptDeadlines, AnUnwrittenAttemptEndsAtTheEarlierDeadline) {
   EXPECT_EQ(AttemptDeadlines(AttemptTimeouts(2s, 1s), kNow).unwrittenEnd(), kNow + 1s);
   EXPECT_EQ(AttemptDeadlines(AttemptTimeouts(2s, 3s), kNow).unwrittenEnd(), kNow + 2s);
 }
 
-TEST(AttemptDeadlines, ATimeoutBelowZeroIsOver) {
+TEST(AttemptDeadlines, ANegativeTimeoutEndsAtOnce) {
   EXPECT_EQ(AttemptDeadlines(AttemptTimeouts(-1s), kNow).responseBy, kNow);
 }
 
--- a/tests/upstream/attempt_tracker_test.cpp
+++ b/tests/upstream/attempt_tracker_test.cpp
@@ -1,3 +1,4 @@
+// The attempt tracker: attempts in flight, and reports of their ends.
 #include "upstream/attempt_tracker.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +17,7 @@
   const std::shared_ptr<FakeConnection> connection = std::make_shared<FakeConnection>();
 };
 
-TEST_F(AttemptTrackerTest, AnAttemptIsKnownUntilItEnds) {
+TEST_F(AttemptTrackerTest, AnAttemptIsFoundUntilItEnds) {
   const AttemptKey key{7, 1};
   EXPECT_EQ(tracker.find(key), nullptr);
   tracker.add(key, connection);
@@ -28,7 +29,7 @@
   EXPECT_EQ(ends[0].outcome, policy::Outcome::served);
 }
 
-TEST_F(AttemptTrackerTest, AnAttemptWithoutAConnectionHasNotBeenSent) {
+TEST_F(AttemptTrackerTest, AnAttemptWithoutAConnectionIsReportedAsNotSent) {
   tracker.endUnconnected({7, 0}, 3, policy::FailureReason::noDescriptor);
   ASSERT_EQ(ends.size(), 1u);
   EXPECT_EQ(ends[0].outcome, policy::Outcome::connectFailed);
@@ -37,8 +38,8 @@
   EXPECT_EQ(ends[0].endpoint, 3u);
 }
 
-// In a stop, connections are closed without a word of their attempts.
-TEST_F(AttemptTrackerTest, WhatIsTakenIsNotReported) {
+// stop() closes connections without reporting the ends of their attempts.
+TEST_F(AttemptTrackerTest, TakenAttemptsAreNotReported) {
   tracker.add({7, 0}, connection);
   tracker.add({8, 0}, connection);
   EXPECT_EQ(tracker.takeAll().size(), 2u);
@@ -46,7 +47,7 @@
   EXPECT_TRUE(ends.empty());
 }
 
-TEST_F(AttemptTrackerTest, NothingIsReportedOnceReportingHasStopped) {
+TEST_F(AttemptTrackerTest, NothingIsReportedAfterStopReporting) {
   tracker.add({7, 0}, connection);
   tracker.stopReporting();
   tracker.end({{7, 0}, 3, policy::Outcome::reset, {}, {}});
--- a/tests/upstream/connection_counts_test.cpp
+++ b/tests/upstream/connection_counts_test.cpp
@@ -1,3 +1,4 @@
+// Connection counts: the total, the counts of tracked endpoints, and their reports.
 #include "upstream/connection_counts.hpp"
 
 #include <gtest/gtest.h>
@@ -25,13 +26,13 @@
   }
 };
 
-TEST_F(ConnectionCountsTest, ATrackedEndpointIsReportedFromZeroOn) {
+TEST_F(ConnectionCountsTest, TrackingAnEndpointReportsZeroConnections) {
   counts.track(1);
   expect(0, 0);
   EXPECT_EQ(reported.size(), 1u);
 }
 
-TEST_F(ConnectionCountsTest, AConnectionCountsFromItsOpeningToItsClose) {
+TEST_F(ConnectionCountsTest, AConnectionCountsFromOpeningUntilClosed) {
   counts.track(1);
   counts.onOpening(1);
   expect(1, 0);
@@ -47,9 +48,9 @@
   EXPECT_EQ(counts.total(), 0u);
 }
 
-// A connection that only streams holds a descriptor, but its endpoint's id may belong to another endpoint by
-// the time it is closed.
-TEST_F(ConnectionCountsTest, AnExcludedConnectionCountsInTheTotalAlone) {
+// A connection that only streams a response still uses a descriptor, but its endpoint's id may have been
+// reused for another endpoint by the time it is closed.
+TEST_F(ConnectionCountsTest, AnExcludedConnectionCountsOnlyInTheTotal) {
   counts.track(1);
   counts.onOpening(1);
   counts.onEstablished(1);
--- a/tests/upstream/connector_test.cpp
+++ b/tests/upstream/connector_test.cpp
@@ -1,3 +1,4 @@
+// Connecting a socket, and the reasons of failures.
 #include "upstream/connector.hpp"
 
 #include <gtest/gtest.h>
@@ -24,10 +25,10 @@
   }
 };
 
-TEST_F(ConnectorTest, AConnectionThatComesUpDoesNotBlockAndSendsAtOnce) {
+TEST_F(ConnectorTest, AnEstablishedConnectionIsNonBlockingWithoutDelay) {
   tcp::acceptor acceptor(io, {boost::asio::ip::address_v4::loopback(), 0});
   EXPECT_EQ(begin(acceptor.local_endpoint()), ConnectStart::begun);
-  EXPECT_TRUE(results.empty()) << "told by the event loop alone";
+  EXPECT_TRUE(results.empty()) << "only the event loop calls the handler";
   io.run();
   ASSERT_EQ(results.size(), 1u);
   EXPECT_FALSE(results[0]);
@@ -37,7 +38,7 @@
   EXPECT_TRUE(noDelay.value());
 }
 
-TEST_F(ConnectorTest, APortOnWhichNobodyListensRefuses) {
+TEST_F(ConnectorTest, APortWithoutAListenerRefusesTheConnection) {
   tcp::acceptor acceptor(io, {boost::asio::ip::address_v4::loopback(), 0});
   const tcp::endpoint address = acceptor.local_endpoint();
   acceptor.close();
@@ -47,7 +48,7 @@
   EXPECT_EQ(results[0], FailureReason::connectionRefused);
 }
 
-TEST(ConnectFailureReason, OwnLacksAndSilenceAreToldFromARefusal) {
+TEST(ConnectFailureReason, DistinguishesLocalResourcesTimeoutAndRefusal) {
   const auto reasonOf = [](errc::errc_t code) { return connectFailureReason(errc::make_error_code(code)); };
   for (const auto code : {errc::too_many_files_open, errc::too_many_files_open_in_system,
                           errc::no_buffer_space, errc::not_enough_memory, errc::address_not_available})
--- a/tests/upstream/endpoint_table_test.cpp
+++ b/tests/upstream/endpoint_table_test.cpp
@@ -1,3 +1,4 @@
+// The endpoint table: addresses, serving endpoints, and when connections are retired.
 #include "upstream/endpoint_table.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +23,7 @@
   }
 };
 
-TEST_F(EndpointTableTest, ANewEndpointHasNotMoved) {
+TEST_F(EndpointTableTest, ANewEndpointDoesNotCountAsMoved) {
   EXPECT_FALSE(update(addressAt(8080), true));
   EXPECT_TRUE(table.isServingAt(1, addressAt(8080)));
   EXPECT_FALSE(table.isServingAt(1, addressAt(8081)));
@@ -37,7 +38,7 @@
   EXPECT_EQ(retired, 0);
 }
 
-TEST_F(EndpointTableTest, OneThatMovesOrServesNoMoreGivesThemUp) {
+TEST_F(EndpointTableTest, ConnectionsAreRetiredWhenAnEndpointMovesOrStopsServing) {
   update(addressAt(8080), true);
   retired = 0;
   EXPECT_TRUE(update(addressAt(8081), true));
@@ -47,14 +48,14 @@
   EXPECT_FALSE(table.isServingAt(1, addressAt(8081)));
 }
 
-// An endpoint that is gone may be named by the list without its address.
-TEST_F(EndpointTableTest, AnAddressThatIsNotToldStaysWhatItWas) {
+// The endpoint list may name a removed endpoint without its address.
+TEST_F(EndpointTableTest, AnUnknownAddressLeavesTheStoredOneUnchanged) {
   update(addressAt(8080), true);
   EXPECT_FALSE(update(tcp::endpoint(), true));
   EXPECT_TRUE(table.isServingAt(1, addressAt(8080)));
 }
 
-TEST_F(EndpointTableTest, BeforeAWholeListNoneServes) {
+TEST_F(EndpointTableTest, NoEndpointServesAfterSetNoneServing) {
   update(addressAt(8080), true);
   table.setNoneServing();
   EXPECT_FALSE(table.isServingAt(1, addressAt(8080)));
--- a/tests/upstream/idle_connection_test.cpp
+++ b/tests/upstream/idle_connection_test.cpp
@@ -1,3 +1,4 @@
+// Idle connections: when they are closed, and whether they are usable.
 #include "upstream/idle_connection.hpp"
 
 #include <gtest/gtest.h>
@@ -14,17 +15,18 @@
 
 const Clock::time_point kNow = Clock::time_point() + 1h;
 
-TEST(IdleConnection, WithoutAnIdleTimeoutItIsKept) {
+TEST(IdleConnection, IsKeptWithoutAnIdleTimeout) {
   EXPECT_FALSE(isIdleTooLong(kNow - 59min, kNow, policy::Duration::zero()));
 }
 
-// The endpoint closes it while a request is on its way there, and the request is lost.
-TEST(IdleConnection, ItIsGivenUpTwoSecondsBeforeTheEndpointWould) {
+// Guards against the endpoint closing a connection while a request is being sent on it, which loses the
+// request.
+TEST(IdleConnection, IsClosedTwoSecondsBeforeTheEndpointsTimeout) {
   EXPECT_FALSE(isIdleTooLong(kNow - 57999ms, kNow, 60s));
   EXPECT_TRUE(isIdleTooLong(kNow - 58s, kNow, 60s));
 }
 
-TEST(IdleConnection, OfAShortIdleTimeoutAFifthIsKeptFree) {
+TEST(IdleConnection, IsClosedAFifthOfAShortTimeoutEarly) {
   EXPECT_FALSE(isIdleTooLong(kNow - 799ms, kNow, 1s));
   EXPECT_TRUE(isIdleTooLong(kNow - 800ms, kNow, 1s));
 }
@@ -41,25 +43,26 @@
     acceptor.accept(far);
     near.non_blocking(true);
   }
-  bool comesToBeUnusable() {
-    const auto patience = Clock::now() + 10s;
-    while (Clock::now() < patience)
+  // Waits until the connection is unusable, for at most 10 s.
+  bool becomesUnusable() {
+    const auto deadline = Clock::now() + 10s;
+    while (Clock::now() < deadline)
       if (!isOpenAndSilent(near)) return true;
     return false;
   }
 };
 
-TEST_F(IdleSocketTest, AnOpenConnectionWithoutBytesIsUsable) { EXPECT_TRUE(isOpenAndSilent(near)); }
+TEST_F(IdleSocketTest, AnOpenConnectionWithoutUnreadBytesIsUsable) { EXPECT_TRUE(isOpenAndSilent(near)); }
 
-TEST_F(IdleSocketTest, OneThatThePeerHasClosedIsNot) {
+TEST_F(IdleSocketTest, AConnectionClosedByThePeerIsNotUsable) {
   far.close();
-  EXPECT_TRUE(comesToBeUnusable());
+  EXPECT_TRUE(becomesUnusable());
 }
 
-TEST_F(IdleSocketTest, OneOnWhichSomethingCameUnaskedIsNot) {
+TEST_F(IdleSocketTest, AConnectionWithUnexpectedBytesIsNotUsable) {
   boost::asio::write(far, boost::asio::buffer("x", 1));
-  EXPECT_TRUE(comesToBeUnusable());
-  EXPECT_FALSE(isOpenAndSilent(near)) << "the byte was left where it is";
+  EXPECT_TRUE(becomesUnusable());
+  EXPECT_FALSE(isOpenAndSilent(near)) << "the check does not consume the byte";
 }
 
 }  // namespace
--- a/tests/upstream/periodic_timer_test.cpp
+++ b/tests/upstream/periodic_timer_test.cpp
@@ -1,3 +1,4 @@
+// The periodic timer: repeated calls, stopping and destruction.
 #include "upstream/periodic_timer.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(PeriodicTimer, ItCallsAgainAndAgainUntilItIsStopped) {
+TEST(PeriodicTimer, CallsRepeatedlyUntilStopped) {
   boost::asio::io_context io;
   int calls = 0;
   std::optional<PeriodicTimer> timer;
@@ -21,7 +22,7 @@
   EXPECT_EQ(calls, 3);
 }
 
-TEST(PeriodicTimer, ItsObjectMayGoWithAWaitPending) {
+TEST(PeriodicTimer, CanBeDestroyedWhileAWaitIsPending) {
   boost::asio::io_context io;
   int calls = 0;
   std::optional<PeriodicTimer> timer;
