--- a/src/fleet/admin_socket.cpp
+++ b/src/fleet/admin_socket.cpp
@@ -19,9 +19,10 @@
 
 namespace {
 
-constexpr mode_t kOnlyItsUser = 0177;  // what is masked out
+constexpr mode_t kOwnerOnlyMask = 0177;  // permission bits that are cleared
 
-bool mayConnect(stream_protocol::socket& socket) {
+// Whether the peer process runs as root or as this process's user.
+bool isPeerAllowed(stream_protocol::socket& socket) {
   ucred peer{};
   socklen_t size = sizeof peer;
   const bool known = ::getsockopt(socket.native_handle(), SOL_SOCKET, SO_PEERCRED, &peer, &size) == 0;
@@ -34,7 +35,7 @@
   stream_protocol::socket socket;
   boost::asio::steady_timer timer;
   std::function<void()> onEnd;
-  std::string text;  // the request, then the answer
+  std::string buffer;  // the request, then the response
 
   Client(stream_protocol::socket accepted, std::function<void()> ended)
       : socket(std::move(accepted)), timer(socket.get_executor()), onEnd(std::move(ended)) {}
@@ -46,12 +47,12 @@
 AdminSocket::AdminSocket(boost::asio::io_context& io, std::string path, Handler handler)
     : path_(std::move(path)), acceptor_(io), handler_(std::move(handler)) {
   ::unlink(path_.c_str());
-  // The mode is set by the mask, so that there is no moment in which others may connect.
-  const mode_t before = ::umask(kOnlyItsUser);
+  // The umask sets the mode when the file is created, so that other users can never connect.
+  const mode_t formerMask = ::umask(kOwnerOnlyMask);
   error_code error;
   acceptor_.open();
   acceptor_.bind(stream_protocol::endpoint(path_), error);
-  ::umask(before);
+  ::umask(formerMask);
   if (error) throw boost::system::system_error(error, path_);
   acceptor_.listen();
   accept();
@@ -63,27 +64,27 @@
   acceptor_.async_accept(lifetime_.guard([this](error_code error, stream_protocol::socket socket) {
     if (error) return;
     accept();
-    if (mayConnect(socket) && clients_ < kMaxClients) serve(std::move(socket));
+    if (isPeerAllowed(socket) && clients_ < kMaxClients) serveClient(std::move(socket));
   }));
 }
 
-void AdminSocket::serve(stream_protocol::socket socket) {
+void AdminSocket::serveClient(stream_protocol::socket socket) {
   ++clients_;
   const auto client = std::make_shared<Client>(std::move(socket), lifetime_.guard([this] { --clients_; }));
   client->timer.expires_after(kClientTimeout);
   client->timer.async_wait([weak = std::weak_ptr<Client>(client)](error_code cancelled) {
-    const auto late = weak.lock();
-    if (!cancelled && late) late->socket.close();
+    const auto pending = weak.lock();
+    if (!cancelled && pending) pending->socket.close();
   });
   boost::asio::async_read_until(
-      client->socket, boost::asio::dynamic_buffer(client->text, kMaxRequestBytes), '\n',
+      client->socket, boost::asio::dynamic_buffer(client->buffer, kMaxRequestBytes), '\n',
       lifetime_.guard([this, client](error_code error, std::size_t size) {
         if (error) return;
-        const json request = json::parse(client->text.substr(0, size), nullptr, false);
+        const json request = json::parse(client->buffer.substr(0, size), nullptr, false);
         const json answer =
             request.is_object() ? handler_(request) : json{{"error", "expected a JSON object"}};
-        client->text = answer.dump() + "\n";
-        boost::asio::async_write(client->socket, boost::asio::buffer(client->text),
+        client->buffer = answer.dump() + "\n";
+        boost::asio::async_write(client->socket, boost::asio::buffer(client->buffer),
                                  [client](error_code, std::size_t) {});
       }));
 }
@@ -95,12 +96,12 @@
   socket.connect(stream_protocol::endpoint(path), error);
   if (error) throw std::runtime_error(path + ": " + error.message());
   boost::asio::write(socket, boost::asio::buffer(request.dump() + "\n"), error);
-  std::string text;
-  if (!error) boost::asio::read_until(socket, boost::asio::dynamic_buffer(text), '\n', error);
-  json answer = json::parse(text, nullptr, false);
+  std::string response;
+  if (!error) boost::asio::read_until(socket, boost::asio::dynamic_buffer(response), '\n', error);
+  json answer = json::parse(response, nullptr, false);
   if (error || answer.is_discarded())
     throw std::runtime_error(path + ": no answer" + (error ? ": " + error.message() : std::string()) +
-                             " (only the keeper's user and root are answered)");
+                             " (only the coordinator's user and root may connect)");
   if (answer.contains("error")) throw std::runtime_error(answer["error"].get<std::string>());
   return answer;
 }
--- a/src/fleet/boot_clock.hpp
+++ b/src/fleet/boot_clock.hpp
@@ -1,4 +1,4 @@
-// The clock by which a member counts its leases: since the machine booted, sleep included, and never stepped.
+// The clock by which a member measures its leases: time since boot, including suspend. It is never stepped.
 #pragma once
 
 #include <ctime>
--- a/src/fleet/command_receiver.cpp
+++ b/src/fleet/command_receiver.cpp
@@ -10,11 +10,11 @@
 CommandReceiver::CommandReceiver(boost::asio::io_context& io, const std::string& folder, EventLog& log,
                                  Callbacks callbacks)
     : io_(io), log_(log), callbacks_(std::move(callbacks)), file_(folder) {
-  // Without a file the gate accepts nothing until the leader has said how far the fleet has come.
+  // Without stored marks the gate accepts nothing until raiseMarks() is called with the leader's marks.
   if (const std::optional<FencingMarks> stored = file_.read()) {
     for (const auto& [key, mark] : *stored) durableMarks_[key] = mark.withoutLastCommand();
     gate_.learn(durableMarks_);
-    storedMarks_ = durableMarks_.size();
+    storedMarkCount_ = durableMarks_.size();
   }
   if (file_.isEnabled()) diskThread_ = std::make_unique<boost::asio::thread_pool>(1);
 }
@@ -23,7 +23,7 @@
   if (diskThread_) diskThread_->join();
 }
 
-bool CommandReceiver::admitOwn(const lease::FencingToken& token) {
+bool CommandReceiver::admitOwnCommand(const lease::FencingToken& token) {
   return gate_.admit(token) == FencingResult::accepted;
 }
 
@@ -33,15 +33,15 @@
   logRejection(command, result);
 }
 
-// A command whose mark were lost in a crash after its effect could be followed by an older one. So the mark
-// is on the disk before the effect, or there is no effect.
+// If a command were applied and its mark lost in a crash, an older command could be accepted after the
+// restart. So the mark is durable before the command is applied, or the command is not applied.
 void CommandReceiver::applyWhenDurable(const Command& command) {
   if (!diskThread_) return apply(command);
   auto done = lifetime_.guard(
       [this](FencingFile::WriteResult result, const FencingMarks& marks, const Command& written) {
         if (result == FencingFile::WriteResult::failed) return onDiskFailure(written);
         durableMarks_ = marks;
-        logsDiskFailure_ = true;
+        logNextDiskFailure_ = true;
         apply(written);
       });
   boost::asio::post(*diskThread_, [&io = io_, file = file_, marks = gate_.marks(), command,
@@ -58,7 +58,7 @@
 }
 
 void CommandReceiver::onDiskFailure(const Command& command) {
-  if (std::exchange(logsDiskFailure_, false))
+  if (std::exchange(logNextDiskFailure_, false))
     log_.writeCommand(Event::commandNotApplied, command.token, {{"why", "the disk failed"}});
   gate_.rollBack(durableMarks_);
   callbacks_.onDiskFailure();
@@ -68,11 +68,11 @@
   const lease::FencingToken& token = command.token;
   const auto mark = gate_.marks().find(token.key);
   const bool known = mark != gate_.marks().end();
-  // The last command of a key comes again whenever this member joins anew: that is no event.
+  // The last command of a key is sent again whenever this member joins, so it is not logged.
   if (known && mark->second.epoch == token.epoch && mark->second.sequence == token.sequence) return;
-  const bool hasRoom =
-      loggedRejections_.contains(token.key) || loggedRejections_.size() < lease::FencingGate::kKeysMost;
-  if (!hasRoom || std::exchange(loggedRejections_[token.key], token.epoch) == token.epoch) return;
+  const bool hasCapacity = loggedRejectionEpochs_.contains(token.key) ||
+                           loggedRejectionEpochs_.size() < lease::FencingGate::kKeysMost;
+  if (!hasCapacity || std::exchange(loggedRejectionEpochs_[token.key], token.epoch) == token.epoch) return;
   log_.writeCommand(Event::commandRejected, token,
                     {{"why", lease::nameOf(result)}, {"seen_epoch", known ? mark->second.epoch : 0}});
 }
--- a/src/fleet/command_receiver.hpp
+++ b/src/fleet/command_receiver.hpp
@@ -1,5 +1,6 @@
-// The receiving side of commands: each passes the fencing gate, and has its effect only once the gate's mark
-// is on the disk. The disk is waited for by a thread of its own, since the event loop serves calls.
+// Receives commands: each must pass the fencing gate and is applied only after the gate's mark is durable.
+// The marks are written on a separate thread, because the event loop serves calls and must not block on the
+// disk.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,29 +22,32 @@
 class CommandReceiver {
  public:
   struct Callbacks {
-    std::function<void(const Command&)> onCommand;  // its effect is due now
-    // A command that the gate had accepted has no effect, and its mark was taken back: it must be sent again.
+    std::function<void(const Command&)> onCommand;  // to be applied now
+    // The mark of an accepted command could not be written. The command is not applied and its mark is rolled
+    // back, so the command must be sent again.
     std::function<void()> onDiskFailure;
   };
 
-  // `folder`: for the marks; empty: they are not stored. Throws std::runtime_error if there are marks that
-  // can't be read.
+  // `folder` is where the marks are stored; if it is empty they are not stored. Throws std::runtime_error if
+  // stored marks can't be read.
   CommandReceiver(boost::asio::io_context& io, const std::string& folder, EventLog& log, Callbacks callbacks);
-  ~CommandReceiver();  // waits for the disk
+  ~CommandReceiver();  // blocks until pending writes are finished
   CommandReceiver(const CommandReceiver&) = delete;
   CommandReceiver& operator=(const CommandReceiver&) = delete;
 
-  // Raises the fencing marks to those of the leader's JoinResponse.
-  void learn(const FencingMarks& marks) { gate_.learn(marks); }
-  // A command of another member, or of this one by another link.
+  // Raises the fencing marks to those in the leader's JoinResponse. Until this is called or stored marks were
+  // read, every command is rejected.
+  void raiseMarks(const FencingMarks& marks) { gate_.learn(marks); }
+  // Handles a command from a link: applies it, or logs why the fencing gate rejects it.
   void receive(const Command& command);
-  // A command of this member, before it is sent. False: the gate rejects it, and it must not be sent.
-  [[nodiscard]] bool admitOwn(const lease::FencingToken& token);
-  // The same command once it was sent: its effect here.
-  void applyOwn(const Command& command) { applyWhenDurable(command); }
+  // Passes one of this member's own commands through the gate before it is sent. Returns false if the gate
+  // rejects it; it must not be sent then.
+  [[nodiscard]] bool admitOwnCommand(const lease::FencingToken& token);
+  // Applies an own command that admitOwnCommand() accepted and that was sent.
+  void applyOwnCommand(const Command& command) { applyWhenDurable(command); }
 
-  // Keys whose marks were on the disk at the start.
-  std::size_t storedMarks() const { return storedMarks_; }
+  // Number of keys whose marks were read from the disk at startup.
+  std::size_t storedMarkCount() const { return storedMarkCount_; }
   const lease::FencingGate& gate() const { return gate_; }
 
  private:
@@ -57,12 +61,12 @@
   Callbacks callbacks_;
   const FencingFile file_;
   lease::FencingGate gate_;
-  FencingMarks durableMarks_;  // what of the gate's marks is on the disk
-  std::size_t storedMarks_ = 0;
-  bool logsDiskFailure_ = true;  // false between a failure and the next success
-  // The last epoch of each key for which a rejection was logged.
-  std::map<lease::LeaseKey, lease::Epoch> loggedRejections_;
-  std::unique_ptr<boost::asio::thread_pool> diskThread_;  // one thread; null: nothing is stored
+  FencingMarks durableMarks_;  // the gate's marks that are on the disk
+  std::size_t storedMarkCount_ = 0;
+  bool logNextDiskFailure_ = true;  // false from a failed write until the next successful one
+  // By key: the last epoch for which a rejection was logged, so that each epoch is logged once.
+  std::map<lease::LeaseKey, lease::Epoch> loggedRejectionEpochs_;
+  std::unique_ptr<boost::asio::thread_pool> diskThread_;  // one thread; null if marks are not stored
   CallbackGuard lifetime_;
 };
 
--- a/src/fleet/coordinator.cpp
+++ b/src/fleet/coordinator.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// After accepting failed, for want of descriptors.
+// Delay after a failed accept, for example when the process is out of file descriptors.
 constexpr std::chrono::milliseconds kAcceptRetryDelay{100};
 
 template <class T, class... Others>
@@ -57,20 +57,21 @@
 
 void Coordinator::onPauseChange() {
   const std::optional<std::string> reason = log_.pauseReason();
-  if (!reason) return events_.write(Event::votingResumed, {{"pauses", pauses_}});
-  events_.write(Event::votingPaused, {{"reason", *reason}, {"pauses", ++pauses_}});
+  if (!reason) return events_.write(Event::votingResumed, {{"pauses", votingPauses_}});
+  events_.write(Event::votingPaused, {{"reason", *reason}, {"pauses", ++votingPauses_}});
 }
 
 void Coordinator::onLeadershipChange() {
-  if (stopping_ || isLeader() == leading_) return;
-  leading_ = isLeader();
-  events_.write(leading_ ? Event::leadershipAcquired : Event::leadershipLost, {{"leader", log_.leader()}});
-  if (leading_) {
-    log_.beginLeading();
+  if (stopping_ || isLeader() == actingAsLeader_) return;
+  actingAsLeader_ = isLeader();
+  events_.write(actingAsLeader_ ? Event::leadershipAcquired : Event::leadershipLost,
+                {{"leader", log_.leader()}});
+  if (actingAsLeader_) {
+    log_.onLeadershipAcquired();
     return granting_.start();
   }
   granting_.stop();
-  retained_.clear();
+  retainedCommands_.clear();
   connections_.finishAll(NotLeader{}, LinkEnd::notLeader);
 }
 
@@ -79,13 +80,13 @@
 void Coordinator::accept() {
   acceptor_.async_accept(lifetime_.guard([this](error_code error, tcp::socket socket) {
     if (stopping_) return;
-    if (error) return acceptLater();
+    if (error) return scheduleAccept();
     if (!connections_.isFull()) addConnection(std::move(socket));
     accept();
   }));
 }
 
-void Coordinator::acceptLater() {
+void Coordinator::scheduleAccept() {
   acceptTimer_.expires_after(kAcceptRetryDelay);
   acceptTimer_.async_wait(lifetime_.guard([this](error_code cancelled) {
     if (!cancelled) accept();
@@ -95,7 +96,7 @@
 void Coordinator::addConnection(tcp::socket socket) {
   const auto connection = std::make_shared<PeerConnection>();
   const std::weak_ptr<PeerConnection> weak =
-      connection;  // the connection owns the link, which has the callbacks
+      connection;  // the connection owns the link, which owns the callbacks
   Link::Limits limits;
   limits.receiveTimeout = settings_.isolatedAfter;
   connection->link = Link::accepted(io_, std::move(socket), limits,
@@ -115,10 +116,10 @@
       [&](const auto& typed) {
         using T = std::decay_t<decltype(typed)>;
         if constexpr (isOneOf<T, JoinRequest, VoterHandshakeRequest>) {
-          on(connection, typed);
+          handle(connection, typed);
         } else if constexpr (isOneOf<T, Heartbeat, ReleaseLease, Command, Leave>) {
-          // Otherwise it was written before the member had read that it is rejected.
-          if (connection->joined) on(connection, typed);
+          // Otherwise the member sent it before it received the rejection; it is ignored.
+          if (connection->joined) handle(connection, typed);
         } else {
           reject(connection, "a keeper's word from a member");
         }
@@ -141,7 +142,7 @@
 
 // --- Handshakes and joining
 
-void Coordinator::on(const PeerConnectionPtr& connection, const VoterHandshakeRequest& request) {
+void Coordinator::handle(const PeerConnectionPtr& connection, const VoterHandshakeRequest& request) {
   const bool isPeer = request.protocol == kProtocol && request.fleet == settings_.fleet &&
                       request.number != number_ && settings_.coordinator(request.number) != nullptr;
   if (!isPeer)
@@ -150,7 +151,7 @@
   std::string rejection;
   try {
     rejection = consensus::rejectionText(identity_.checkPeer(request.number, request.mark));
-  } catch (const consensus::LogError& error) {  // its mark can't be kept now: it asks again
+  } catch (const consensus::LogError& error) {  // its mark can't be stored now: it retries
     return reject(connection, error.what());
   }
   events_.write(rejection.empty() ? Event::voterAccepted : Event::voterRejected,
@@ -159,7 +160,7 @@
   connection->link->finish(LinkEnd::stopped);
 }
 
-std::string Coordinator::rejectionOf(const JoinRequest& request) const {
+std::string Coordinator::rejectionReason(const JoinRequest& request) const {
   if (request.protocol != kProtocol)
     return "protocol " + std::to_string(request.protocol) + ", this keeper speaks " +
            std::to_string(kProtocol);
@@ -168,12 +169,12 @@
   return {};
 }
 
-void Coordinator::on(const PeerConnectionPtr& connection, const JoinRequest& request) {
+void Coordinator::handle(const PeerConnectionPtr& connection, const JoinRequest& request) {
   if (!connection->member.name.empty()) return reject(connection, "it greeted twice");
   connection->member = request.member;
   connection->zone = request.zone;
   connection->eligible = request.eligible;
-  const std::string rejection = rejectionOf(request);
+  const std::string rejection = rejectionReason(request);
   if (!rejection.empty()) return reject(connection, rejection);
   if (!isLeader()) {
     connection->link->send(NotLeader{log_.leader()});
@@ -190,20 +191,21 @@
                  if (connection->ended) return;
                  if (result.rejection != lease::RejectionReason::none)
                    return reject(connection, std::string(lease::nameOf(result.rejection)));
-                 welcome(connection);
+                 sendJoinResponse(connection);
                }));
 }
 
-// Sent after the member's own MemberJoined is applied, so it names every epoch that was granted before.
-void Coordinator::welcome(const PeerConnectionPtr& connection) {
+// Called after the member's MemberJoined was applied, so the marks include every epoch granted before.
+void Coordinator::sendJoinResponse(const PeerConnectionPtr& connection) {
   connection->joined = true;
   JoinResponse response{number_, connections_.memberCount(), {}};
-  // The last command that each holder reported may not have reached this member, so it is still accepted.
+  // The last command that each lease holder reported may not have reached this member, so it must still be
+  // accepted.
   for (const auto& [key, record] : log_.table().holdings())
     response.marks[key] =
         lease::FencingGate::FencingMark{record.epoch, record.sequence, {}}.withoutLastCommand();
   connection->link->send(response);
-  for (const auto& [key, entry] : retained_.entries()) connection->link->send(entry.frame);
+  for (const auto& [key, entry] : retainedCommands_.entries()) connection->link->send(entry.frame);
   events_.write(Event::memberJoined, {{"name", connection->member.name},
                                       {"incarnation", connection->member.incarnation},
                                       {"zone", connection->zone}});
@@ -211,11 +213,11 @@
 
 // --- Leases and commands
 
-void Coordinator::on(const PeerConnectionPtr& connection, const Heartbeat& heartbeat) {
+void Coordinator::handle(const PeerConnectionPtr& connection, const Heartbeat& heartbeat) {
   renewal_.onHeartbeat(connection, heartbeat);
 }
 
-void Coordinator::on(const PeerConnectionPtr& connection, const ReleaseLease& release) {
+void Coordinator::handle(const PeerConnectionPtr& connection, const ReleaseLease& release) {
   log_.propose(
       lease::LeaseReleased{release.key, release.epoch, connection->member, release.failed},
       lifetime_.guard([this, connection, release](const lease::ApplyResult& result) {
@@ -228,24 +230,25 @@
       }));
 }
 
-void Coordinator::on(const PeerConnectionPtr& connection, const Leave& /*leave*/) {
+void Coordinator::handle(const PeerConnectionPtr& connection, const Leave& /*leave*/) {
   connection->eligible = false;
   log_.propose(lease::MemberLeft{connection->member},
                lifetime_.guard([this, connection](const lease::ApplyResult&) {
                  events_.write(Event::memberLeft, {{"name", connection->member.name}});
-                 // The link stays: the member serves on for a while, and goes on receiving commands.
+                 // The link stays open: the member still serves for a while and receives commands.
                  if (!connection->ended) connection->link->send(Leave{});
                  granting_.grantFreeLeases();
                }));
 }
 
-// Forwarded as they are: whether one is too old is decided where it would have an effect, and nowhere else.
-void Coordinator::on(const PeerConnectionPtr& connection, const Command& command) {
+// Commands are forwarded without a check for staleness: only each receiver's fencing gate decides whether a
+// command is too old.
+void Coordinator::handle(const PeerConnectionPtr& connection, const Command& command) {
   if (command.token.holder != connection->member)
     return reject(connection, "an order under another member's name");
   ++forwardedCommands_;
   const SharedFrame frame = encode(command);
-  if (command.retained) retained_.store(command.token, frame);
+  if (command.retained) retainedCommands_.store(command.token, frame);
   for (const PeerConnectionPtr& receiver : connections_.joined())
     if (receiver != connection) receiver->link->send(frame);
 }
@@ -253,7 +256,7 @@
 // --- Operators
 
 json Coordinator::status() const {
-  return statusJson({settings_.fleet, number_, forwardedCommands_, rejectedPeers_, pauses_}, log_,
+  return statusJson({settings_.fleet, number_, forwardedCommands_, rejectedPeers_, votingPauses_}, log_,
                     connections_);
 }
 
--- a/src/fleet/coordinator.hpp
+++ b/src/fleet/coordinator.hpp
@@ -1,5 +1,5 @@
-// One of the coordinators of a fleet. It answers the handshakes of other coordinators; while it leads it
-// admits members, renews and grants their leases by the replicated log, and forwards commands.
+// A coordinator of a fleet. It answers the handshakes of other coordinators. While it is the leader, it also
+// admits members, grants and renews their leases through the replicated log, and forwards commands.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,44 +26,45 @@
 
 class Coordinator {
  public:
-  // Listens at once, and answers other coordinators. `number`: of this one, in the settings. Throws
-  // boost::system::system_error.
+  // Starts to listen, and to answer handshakes. `number` is this coordinator's number in the settings. Throws
+  // boost::system::system_error if it can't listen.
   Coordinator(boost::asio::io_context& io, const Settings& settings, int number,
               consensus::VoterIdentity& identity, const LeaseStateMachine& machine, EventLog& events);
   ~Coordinator();
   Coordinator(const Coordinator&) = delete;
   Coordinator& operator=(const Coordinator&) = delete;
 
-  // From now on it serves members while it leads. The log outlives this, or stop() is called before.
+  // Serves members from now on whenever `log` is the leader. `log` must outlive this object, or stop() must
+  // be called before `log` is destroyed.
   void serve(consensus::ReplicatedLog& log);
-  // Sends members to whoever leads next, and accepts nobody any more.
+  // Stops accepting connections, and ends all links with NotLeader so that members look for the next leader.
   void stop();
 
   boost::asio::ip::tcp::endpoint listening() const { return acceptor_.local_endpoint(); }
   bool isLeader() const { return log_.isLeader(); }
-  // For operators (coordinator_status.hpp).
+  // JSON for operators, as in coordinator_status.hpp.
   nlohmann::json status() const;
   nlohmann::json leases() const;
-  // Asks the holder of a lease to release it.
+  // Asks the lease holder to release the lease.
   TransferResult transfer(const lease::LeaseKey& key) { return granting_.transfer(key); }
 
  private:
   void accept();
-  void acceptLater();
+  void scheduleAccept();
   void addConnection(boost::asio::ip::tcp::socket socket);
   void onMessage(const PeerConnectionPtr& connection, const Message& message);
   void onLinkEnd(const PeerConnectionPtr& connection, LinkEnd end, const std::string& detail);
   void reject(const PeerConnectionPtr& connection, const std::string& reason);
-  // Why the sender can't join; empty: it can.
-  std::string rejectionOf(const JoinRequest& request) const;
+  // Returns why the request can't be accepted; empty if it can.
+  std::string rejectionReason(const JoinRequest& request) const;
 
-  void on(const PeerConnectionPtr& connection, const VoterHandshakeRequest& request);
-  void on(const PeerConnectionPtr& connection, const JoinRequest& request);
-  void on(const PeerConnectionPtr& connection, const Heartbeat& heartbeat);
-  void on(const PeerConnectionPtr& connection, const ReleaseLease& release);
-  void on(const PeerConnectionPtr& connection, const Command& command);
-  void on(const PeerConnectionPtr& connection, const Leave& leave);
-  void welcome(const PeerConnectionPtr& connection);
+  void handle(const PeerConnectionPtr& connection, const VoterHandshakeRequest& request);
+  void handle(const PeerConnectionPtr& connection, const JoinRequest& request);
+  void handle(const PeerConnectionPtr& connection, const Heartbeat& heartbeat);
+  void handle(const PeerConnectionPtr& connection, const ReleaseLease& release);
+  void handle(const PeerConnectionPtr& connection, const Command& command);
+  void handle(const PeerConnectionPtr& connection, const Leave& leave);
+  void sendJoinResponse(const PeerConnectionPtr& connection);
   void onLeadershipChange();
   void onPauseChange();
 
@@ -73,17 +74,17 @@
   consensus::VoterIdentity& identity_;
   EventLog& events_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer acceptTimer_;  // runs after accepting failed
+  boost::asio::steady_timer acceptTimer_;  // runs after a failed accept, until the next attempt
   ConnectionTable connections_;
   LeaseLog log_;
   LeaseRenewal renewal_;
   LeaseGranting granting_;
-  RetainedCommands retained_;  // empty while it does not lead
-  bool leading_ = false;       // as of the last change of leadership
-  bool stopping_ = false;      // stop() was called
+  RetainedCommands retainedCommands_;  // empty unless this coordinator leads
+  bool actingAsLeader_ = false;        // at the last onLeadershipChange()
+  bool stopping_ = false;              // stop() was called
   std::uint64_t forwardedCommands_ = 0;
   std::uint64_t rejectedPeers_ = 0;
-  std::uint64_t pauses_ = 0;
+  std::uint64_t votingPauses_ = 0;
   CallbackGuard lifetime_;
 };
 
--- a/src/fleet/coordinator_connection.cpp
+++ b/src/fleet/coordinator_connection.cpp
@@ -28,7 +28,7 @@
   return true;
 }
 
-void CoordinatorConnection::drop(const std::string& detail) {
+void CoordinatorConnection::closeLink(const std::string& detail) {
   if (link_) link_->close(LinkEnd::stopped, detail);
 }
 
@@ -40,7 +40,7 @@
 
 void CoordinatorConnection::dial() {
   const CoordinatorAddress& coordinator = nextCoordinator();
-  dialled_ = coordinator.number;
+  coordinatorNumber_ = coordinator.number;
   Link::Limits limits;
   limits.receiveTimeout = settings_.isolatedAfter;
   link_ = Link::dial(io_, coordinator.address, limits,
@@ -49,8 +49,8 @@
                       [this](LinkEnd end, const std::string& detail) { onLinkEnd(end, detail); }});
 }
 
-void CoordinatorConnection::dialAfter(milliseconds longest) {
-  std::uniform_int_distribution<milliseconds::rep> delay((longest / 2).count(), longest.count());
+void CoordinatorConnection::scheduleDial(milliseconds maxDelay) {
+  std::uniform_int_distribution<milliseconds::rep> delay((maxDelay / 2).count(), maxDelay.count());
   dialTimer_.expires_after(milliseconds(delay(random_)));
   dialTimer_.async_wait(lifetime_.guard([this](boost::system::error_code cancelled) {
     if (!cancelled) dial();
@@ -63,7 +63,7 @@
     backoff_.onJoined();
     callbacks_.onJoin(*response);
   } else if (const auto* notLeader = std::get_if<NotLeader>(&message)) {
-    if (notLeader->leader != dialled_) leaderHint_ = notLeader->leader;
+    if (notLeader->leader != coordinatorNumber_) leaderHint_ = notLeader->leader;
     link_->close(LinkEnd::notLeader);
   } else if (const auto* rejected = std::get_if<JoinRejected>(&message)) {
     link_->close(LinkEnd::rejected, rejected->reason);
@@ -71,19 +71,20 @@
              std::holds_alternative<TransferLease>(message) || std::holds_alternative<Leave>(message)) {
     callbacks_.onMessage(message);
   } else {
-    link_->close(LinkEnd::badFrame, "a member's word from a keeper");
+    link_->close(LinkEnd::badFrame, "a message that a coordinator must not send");
   }
 }
 
 void CoordinatorConnection::onLinkEnd(LinkEnd end, const std::string& detail) {
   const bool hadJoined = std::exchange(joined_, false);
   link_ = nullptr;
-  const std::string text = std::string(nameOf(end)) + (detail.empty() ? "" : ": " + detail);
-  // The same end again, dial after dial, is one event.
-  if (hadJoined || text != lastEnd_) log_.write(Event::linkEnded, {{"keeper", dialled_}, {"end", text}});
-  lastEnd_ = text;
+  const std::string endText = std::string(nameOf(end)) + (detail.empty() ? "" : ": " + detail);
+  // Consecutive dials that end in the same way are logged once.
+  if (hadJoined || endText != lastLinkEnd_)
+    log_.write(Event::linkEnded, {{"keeper", coordinatorNumber_}, {"end", endText}});
+  lastLinkEnd_ = endText;
   callbacks_.onEnd();
-  dialAfter(backoff_.onLinkEnd(end, hadJoined));
+  scheduleDial(backoff_.onLinkEnd(end, hadJoined));
 }
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/coordinator_connection.hpp
+++ b/src/fleet/coordinator_connection.hpp
@@ -1,5 +1,5 @@
-// A member's connection to the coordinator that leads: dials one after the other, follows their hints who
-// leads, and dials again with a backoff when a link ends.
+// A member's connection to the leader. It dials the coordinators in turn, follows their hints about which one
+// leads, and dials again after a backoff when a link ends.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,11 +22,11 @@
 class CoordinatorConnection {
  public:
   struct Callbacks {
-    std::function<JoinRequest()> makeJoinRequest;  // for each link that is connected
+    std::function<JoinRequest()> makeJoinRequest;  // called when a link is connected
     std::function<void(const JoinResponse&)> onJoin;
     std::function<void(const Message&)>
-        onMessage;                // all others that a leader sends once it has admitted the member
-    std::function<void()> onEnd;  // of a link, joined or not; the next one is dialled by itself
+        onMessage;                // any other message that a leader sends to a joined member
+    std::function<void()> onEnd;  // a link has ended, joined or not; the next dial is scheduled
   };
 
   CoordinatorConnection(boost::asio::io_context& io, const Settings& settings, EventLog& log,
@@ -35,21 +35,21 @@
   CoordinatorConnection(const CoordinatorConnection&) = delete;
   CoordinatorConnection& operator=(const CoordinatorConnection&) = delete;
 
-  // Dials the first coordinator, a random one.
+  // Dials a randomly chosen coordinator. Called once.
   void start();
-  // False, and nothing is sent, unless a leader has admitted this member.
+  // Queues a message on the link. Returns false, and sends nothing, unless this member has joined.
   bool send(const Message& message);
-  // Ends the present link, if there is one; another is dialled.
-  void drop(const std::string& detail);
+  // Ends the current link, if any, with LinkEnd::stopped and `detail`; another dial follows.
+  void closeLink(const std::string& detail);
 
   bool hasJoined() const { return joined_; }
-  // How the last link ended; empty: none has.
-  const std::string& lastLinkEnd() const { return lastEnd_; }
+  // The name of the last link's end, with its detail; empty if no link has ended yet.
+  const std::string& lastLinkEnd() const { return lastLinkEnd_; }
 
  private:
   const CoordinatorAddress& nextCoordinator();
   void dial();
-  void dialAfter(std::chrono::milliseconds longest);
+  void scheduleDial(std::chrono::milliseconds maxDelay);
   void onMessage(const Message& message);
   void onLinkEnd(LinkEnd end, const std::string& detail);
 
@@ -57,15 +57,15 @@
   const Settings settings_;
   EventLog& log_;
   Callbacks callbacks_;
-  std::shared_ptr<Link> link_;  // null between two links
+  std::shared_ptr<Link> link_;  // null between links
   boost::asio::steady_timer dialTimer_;
   DialBackoff backoff_;
   std::mt19937_64 random_;
-  std::size_t nextIndex_ = 0;  // in settings_.coordinators, modulo their count
-  int dialled_ = 0;            // number of the coordinator of the present or last link
-  int leaderHint_ = 0;         // number of the leader by another coordinator's word; 0: none
-  bool joined_ = false;        // only while there is a link
-  std::string lastEnd_;
+  std::size_t nextIndex_ = 0;  // index in settings_.coordinators, modulo its size
+  int coordinatorNumber_ = 0;  // number of the coordinator of the current or last link
+  int leaderHint_ = 0;         // number of the leader according to NotLeader; 0 if unknown
+  bool joined_ = false;        // false between links
+  std::string lastLinkEnd_;
   CallbackGuard lifetime_;
 };
 
--- a/src/fleet/coordinator_status.cpp
+++ b/src/fleet/coordinator_status.cpp
@@ -18,17 +18,17 @@
                        {"owns", log.table().held(connection->member, log.now())},
                        {"bytes_in", connection->link->bytesIn()},
                        {"bytes_out", connection->link->bytesOut()}});
-  json shown = {{"fleet", status.fleet},
-                {"keeper", status.number},
-                {"leads", log.isLeader()},
-                {"leader", log.leader()},
-                {"votes", log.isAttached()},
-                {"orders_passed_on", status.forwardedCommands},
-                {"turned_away", status.rejectedPeers},
-                {"members", std::move(members)}};
-  if (status.pauses > 0) shown["pauses"] = status.pauses;
-  if (const auto reason = log.pauseReason()) shown["paused"] = *reason;
-  return shown;
+  json fields = {{"fleet", status.fleet},
+                 {"keeper", status.number},
+                 {"leads", log.isLeader()},
+                 {"leader", log.leader()},
+                 {"votes", log.isAttached()},
+                 {"orders_passed_on", status.forwardedCommands},
+                 {"turned_away", status.rejectedPeers},
+                 {"members", std::move(members)}};
+  if (status.votingPauses > 0) fields["pauses"] = status.votingPauses;
+  if (const auto reason = log.pauseReason()) fields["paused"] = *reason;
+  return fields;
 }
 
 json leasesJson(const LeaseLog& log) {
--- a/src/fleet/coordinator_status.hpp
+++ b/src/fleet/coordinator_status.hpp
@@ -1,5 +1,5 @@
-// What operators are shown of a coordinator, as JSON. The names of the fields are those of the admin socket,
-// and mapped to the code's here alone.
+// The status of a coordinator as JSON for operators. Field names belong to the admin socket's protocol; this
+// is the only place that maps them to the names used in the code.
 #pragma once
 
 #include <cstdint>
@@ -14,14 +14,15 @@
 struct CoordinatorStatus {
   std::string fleet;
   int number = 0;                       // of this coordinator
-  std::uint64_t forwardedCommands = 0;  // since its start
-  std::uint64_t rejectedPeers = 0;      // since its start
-  std::uint64_t pauses = 0;             // of its part in votes, since its start
+  std::uint64_t forwardedCommands = 0;  // since startup
+  std::uint64_t rejectedPeers = 0;      // since startup
+  std::uint64_t votingPauses = 0;       // times that this voter was paused, since startup
 };
 
 nlohmann::json statusJson(const CoordinatorStatus& status, const LeaseLog& log,
                           const ConnectionTable& connections);
-// All keys that were ever granted. At a coordinator that does not lead: as of the last entry of its log.
+// A row for each key that was ever granted. On a coordinator that does not lead, expiry is relative to the
+// time of its last applied log entry.
 nlohmann::json leasesJson(const LeaseLog& log);
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/dial_backoff.hpp
+++ b/src/fleet/dial_backoff.hpp
@@ -1,4 +1,5 @@
-// How long a member waits before it dials a coordinator again. Decides only: random draws are passed in.
+// Upper bounds for the random delay before a member dials a coordinator again. Pure logic: no I/O, no clock,
+// no random draws (the caller draws the delay).
 #pragma once
 
 #include <algorithm>
@@ -10,15 +11,16 @@
 
 class DialBackoff {
  public:
-  // The delay doubles with every second failure, from the first to the last.
+  // The bound doubles with every second failure, from kMinDelay to kMaxDelay.
   static constexpr std::chrono::milliseconds kMinDelay{50};
   static constexpr std::chrono::milliseconds kMaxDelay{2000};
-  // After a link that had joined: a change of leader sends all members at once, and this spreads them.
+  // After the end of a joined link. A change of leader disconnects all members at once; this spreads their
+  // dials.
   static constexpr std::chrono::milliseconds kRejoinDelay{500};
 
   void onJoined() { failures_ = 0; }
-  // A link has ended. Returns the longest delay before the next dial; the delay is drawn from half of it to
-  // it.
+  // Records the end of a link. Returns the upper bound of the delay before the next dial; the caller draws
+  // the delay between half of the bound and the bound.
   std::chrono::milliseconds onLinkEnd(LinkEnd end, bool hadJoined) {
     if (hadJoined) {
       failures_ = 0;
@@ -31,9 +33,9 @@
   }
 
  private:
-  static constexpr int kMaxDoublings = 10;  // beyond kMaxDelay
+  static constexpr int kMaxDoublings = 10;  // enough to exceed kMaxDelay
 
-  int failures_ = 0;  // links in a row that did not join
+  int failures_ = 0;  // consecutive links that ended without joining
 };
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/endpoint_list_filter.cpp
+++ b/src/fleet/endpoint_list_filter.cpp
@@ -19,8 +19,8 @@
 
 void EndpointListFilter::onOwnList(const std::string& source, std::int64_t version) {
   const std::uint64_t epoch = held_ ? held_->epoch : 0;
-  const bool numberedAnew = held_ && version < held_->version;
-  const bool newEpoch = std::exchange(sourceChanged_, false) || numberedAnew;
+  const bool numberingRestarted = held_ && version < held_->version;
+  const bool newEpoch = std::exchange(sourceChanged_, false) || numberingRestarted;
   held_ = EndpointListVersion{source, newEpoch ? epoch + 1 : epoch, version};
 }
 
--- a/src/fleet/endpoint_list_filter.hpp
+++ b/src/fleet/endpoint_list_filter.hpp
@@ -1,5 +1,6 @@
-// Which endpoint list a member acts on: no list undoes what a newer one has said, whoever sends it. It stands
-// beside the fencing gate, which rejects former lease holders. No I/O, no clock.
+// Decides which endpoint lists a member applies: a list that is older than the current one is rejected,
+// whoever sent it. It complements the fencing gate, which rejects commands of former lease holders. No I/O,
+// no clock.
 #pragma once
 
 #include <cstdint>
@@ -9,35 +10,37 @@
 
 namespace cairnjunction::fleet {
 
-// How new a list is. Members may reach one discovery at several addresses, so lists of different sources are
-// compared by epoch and version alone.
+// Identifies a list and how recent it is. Members may reach the same discovery service at different
+// addresses, so lists of different sources are compared by epoch and version alone.
 struct EndpointListVersion {
-  std::string source;        // discovery's address, as the member that called it has it
-  std::uint64_t epoch = 0;   // grows when discovery numbers its lists anew, or is another one
-  std::int64_t version = 0;  // discovery's number of the list within the epoch
+  std::string source;        // address of discovery, as configured at the member that polled it
+  std::uint64_t epoch = 0;   // incremented when discovery restarts its numbering or is replaced
+  std::int64_t version = 0;  // number that discovery gave the list; comparable within the epoch
   bool operator==(const EndpointListVersion&) const = default;
 };
 
 class EndpointListFilter {
  public:
-  // Sources remembered that a change of configuration has moved this member away from.
+  // Number of former sources that are remembered after changes of configuration.
   static constexpr std::size_t kMaxFormerSources = 8;
 
-  // A list of the lease holder. False: it is older than what is held, or from a former source; it is ignored.
+  // A list from the lease holder. Returns false, and changes nothing, if it is older than the current one or
+  // comes from a former source.
   bool accept(const EndpointListVersion& version);
-  // A list by this member's own call of discovery. Always accepted: a lower version means that discovery
-  // numbers anew.
+  // A list from this member's own call of discovery. It is always accepted: a lower version means that
+  // discovery has restarted its numbering, and begins an epoch.
   void onOwnList(const std::string& source, std::int64_t version);
-  // This member is configured with another discovery from now on.
+  // The configured address of discovery has changed.
   void onSourceChange(const std::string& from, const std::string& to);
 
-  // Of the last list that was accepted.
+  // Version of the current list, the last accepted one; empty before the first.
   const std::optional<EndpointListVersion>& held() const { return held_; }
 
  private:
-  std::vector<std::string> formerSources_;  // oldest first, at most kMaxFormerSources; never the present one
+  std::vector<std::string>
+      formerSources_;  // oldest first, at most kMaxFormerSources; excludes the current one
   std::optional<EndpointListVersion> held_;
-  bool sourceChanged_ = false;  // since the last own list: the next one begins an epoch
+  bool sourceChanged_ = false;  // since the last own list; the next own list begins an epoch
 };
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/event_log.cpp
+++ b/src/fleet/event_log.cpp
@@ -13,8 +13,8 @@
 
 constexpr std::int64_t kMillisecondsPerSecond = 1000;
 
-// The key under which the writer's name stands.
-const char* keyOf(EventLog::Role role) { return role == EventLog::Role::member ? "member" : "keeper"; }
+// The JSON key of the writer's name.
+const char* writerKey(EventLog::Role role) { return role == EventLog::Role::member ? "member" : "keeper"; }
 
 }  // namespace
 
@@ -35,8 +35,8 @@
 void EventLog::write(Event event, nlohmann::json fields) {
   const std::int64_t now = bootTime().time_since_epoch().count();
   const std::int64_t second = now / kMillisecondsPerSecond;
-  if (second != second_) {
-    second_ = second;
+  if (second != currentSecond_) {
+    currentSecond_ = second;
     linesThisSecond_ = 0;
   }
   if (++linesThisSecond_ > kMaxLinesPerSecond) {
@@ -45,7 +45,7 @@
   }
   fields["boot_ms"] = now;
   fields["event"] = nameOf(event);
-  fields[keyOf(role_)] = self_;
+  fields[writerKey(role_)] = self_;
   if (droppedLines_ > 0) fields["lines_left_out"] = std::exchange(droppedLines_, 0);
   log_->info(fields.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
--- a/src/fleet/event_log.hpp
+++ b/src/fleet/event_log.hpp
@@ -1,5 +1,5 @@
-// The structured log of members and coordinators: one JSON object a line, written when something changes and
-// never for a request or a heartbeat. Bounded in lines a second.
+// The structured log of members and coordinators: one JSON object per line. Lines are written on state
+// changes, never per request or heartbeat, and at a bounded rate.
 #pragma once
 
 #include <cstdint>
@@ -17,26 +17,28 @@
 
 namespace cairnjunction::fleet {
 
-// The fields of a lease key, as they stand in log lines and in answers of the admin socket.
+// A lease key as JSON fields, as written to the event log and to responses of the admin socket.
 nlohmann::json fieldsOf(const lease::LeaseKey& key);
 
 class EventLog {
  public:
-  // Bounds what a peer can cause; lines beyond it are dropped, and counted in the next line that is written.
+  // Limits how much logging a peer can cause. Further lines are dropped, and the next line that is written
+  // has their count.
   static constexpr int kMaxLinesPerSecond = 200;
 
-  // Who writes; its name stands in each line under the key of its role.
+  // The kind of process that writes; it selects the JSON key for the writer's name.
   enum class Role : std::uint8_t { member, coordinator };
 
-  // `file` empty: standard error. Throws std::runtime_error if it can't be opened.
+  // Writes to `file`, or to standard error if it is empty. `self` is the writer's name. Throws
+  // std::runtime_error if the file can't be opened.
   EventLog(const std::string& file, Role role, std::string self);
   ~EventLog();
   EventLog(const EventLog&) = delete;
   EventLog& operator=(const EventLog&) = delete;
 
-  // Adds the time since boot, the event and the writer to `fields`, an object.
+  // Writes `fields`, a JSON object, with the time since boot in milliseconds, the event and the writer added.
   void write(Event event, nlohmann::json fields = nlohmann::json::object());
-  // The same with the fields of a command's token.
+  // Like write(), with the fields of a command's fencing token added.
   void writeCommand(Event event, const lease::FencingToken& token,
                     nlohmann::json fields = nlohmann::json::object());
 
@@ -44,9 +46,9 @@
   std::shared_ptr<spdlog::logger> log_;
   const Role role_;
   const std::string self_;
-  std::int64_t second_ = 0;         // since boot, of the last line
-  int linesThisSecond_ = 0;         // within second_, dropped ones among them
-  std::uint64_t droppedLines_ = 0;  // since the last line that was written
+  std::int64_t currentSecond_ = 0;  // second since boot in which the last line was logged
+  int linesThisSecond_ = 0;         // in currentSecond_, including dropped lines
+  std::uint64_t droppedLines_ = 0;  // since the last written line
 };
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/event_names.hpp
+++ b/src/fleet/event_names.hpp
@@ -1,5 +1,5 @@
-// The names of the events in the structured log, in one place: members and coordinators write them,
-// operators' pages list them (docs/operators/fleet.md), and the lab's checker reads them.
+// The names of the events in the structured log. Members and coordinators write them, operators'
+// documentation lists them (docs/operators/fleet.md), and the lab's checker reads them.
 #pragma once
 
 #include <cstdint>
@@ -8,23 +8,23 @@
 namespace cairnjunction::fleet {
 
 enum class Event : std::uint8_t {
-  // Of members.
-  started,            // the process began, with its incarnation
-  joined,             // a leader admitted it
-  linkEnded,          // its link to a coordinator ended, and how
-  isolated,           // nothing came from a leader for Settings::isolatedAfter
-  isolationEnded,     // a leader has answered again
-  leaseAcquired,      // it holds a lease from now on, under this epoch
-  leaseEnded,         // it holds it no longer, and why
-  commandSent,        // as lease holder
-  commandApplied,     // it passed the fencing gate, and its effect is due
-  commandNotApplied,  // its mark could not be written to the disk
-  commandRejected,    // by the fencing gate; once for each epoch of a key
-  listReceived,       // from discovery, by a call of its own
-  listAccepted,       // from the lease holder
-  listRejected,       // from the lease holder; older than what it has
-  listInvalid,        // from the lease holder; can't be read
-  // Of coordinators.
+  // Logged by members:
+  started,            // the process started; has its incarnation
+  joined,             // a leader admitted the member
+  linkEnded,          // the link to a coordinator ended; has how
+  isolated,           // no contact with a leader for Settings::isolatedAfter
+  isolationEnded,     // a leader responds again
+  leaseAcquired,      // the member holds a lease from now on; has the epoch
+  leaseEnded,         // the member no longer holds a lease; has the reason
+  commandSent,        // the member sent a command as lease holder
+  commandApplied,     // a command passed the fencing gate and is applied
+  commandNotApplied,  // the command's fencing mark could not be written to the disk
+  commandRejected,    // rejected by the fencing gate; logged once per key and epoch
+  listReceived,       // endpoint list from the member's own call of discovery
+  listAccepted,       // endpoint list from the lease holder
+  listRejected,       // endpoint list from the lease holder that is older than the current one
+  listInvalid,        // endpoint list from the lease holder that can't be parsed
+  // Logged by coordinators:
   leadershipAcquired,
   leadershipLost,
   memberJoined,
@@ -32,12 +32,14 @@
   memberLinkEnded,
   leaseGranted,
   leaseReleased,
-  votingPaused,  // its disk fails, or is far behind
+  votingPaused,  // the voter's disk fails or has fallen far behind
   votingResumed,
-  joinRejected,       // a member or coordinator that does not belong here
-  voterAccepted,      // the answer to another coordinator's handshake: it may vote
-  voterRejected,      // it must not
-  handshakeRejected,  // this coordinator's own handshake, by another one, or its peer by this one
+  joinRejected,       // a member or coordinator was rejected; has the reason
+  voterAccepted,      // another coordinator's handshake was accepted: it may vote
+  voterRejected,      // another coordinator's handshake was rejected: it must not vote
+  handshakeRejected,  // this coordinator's handshake failed at a peer: either one rejected the other, or the
+                      // peer's mark could not
+                      // be stored
   votingStarted
 };
 
--- a/src/fleet/fencing_file.hpp
+++ b/src/fleet/fencing_file.hpp
@@ -1,5 +1,4 @@
-// Where a receiver of commands stores the marks of its fencing gate, across restarts of its process. A JSON
-// file, replaced whole.
+// Stores the marks of a receiver's fencing gate across restarts, in a JSON file that is replaced atomically.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +12,26 @@
 class FencingFile {
  public:
   enum class WriteResult : std::uint8_t {
-    durable,  // the marks are on the disk
-    failed    // they may not be: the command that moved them must have no effect
+    durable,  // the marks are on the disk, or storage is disabled
+    failed    // the marks may not be on the disk: the command that moved them must not be applied
   };
 
-  // `folder` empty: nothing is stored.
+  // An empty `folder` disables storage.
   explicit FencingFile(const std::string& folder);
 
-  // Whether there is a folder to store marks in.
+  // Whether marks are stored.
   bool isEnabled() const { return !path_.empty(); }
-  // Empty if there is no file yet. Throws std::runtime_error, with the file's name, if there is one that
-  // can't be read: its marks are lost, and the receiver must not go on as if there had been none.
+  // Returns nothing if storage is disabled or the file can't be opened, as before the first write. Throws
+  // std::runtime_error, with the file's name, if the file can't be parsed: its marks are lost, and the
+  // receiver must not continue as if there had been none.
   std::optional<FencingMarks> read() const;
-  // Blocks for the disk. `durable` at once if nothing is stored.
+  // Blocks until the marks are on the disk or writing has failed. Returns `durable` at once if storage is
+  // disabled.
   [[nodiscard]] WriteResult write(const FencingMarks& marks) const;
 
  private:
   std::string folder_;
-  std::string path_;  // of the file in folder_; empty: nothing is stored
+  std::string path_;  // of the file in folder_; empty if storage is disabled
 };
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/frame.cpp
+++ b/src/fleet/frame.cpp
@@ -11,14 +11,14 @@
 using lease::LeaseKey;
 using lease::Sequence;
 
-// Entries of one array or map, and depth of nesting, that are read.
-constexpr std::size_t kMaxEntries = 4096;
+// Limits of what is decoded: entries of one array or map, and depth of nesting.
+constexpr std::size_t kMaxContainerEntries = 4096;
 constexpr std::size_t kMaxDepth = 6;
-const msgpack::unpack_limit kUnpackLimit(kMaxEntries, kMaxEntries, kMaxFrameBytes, kMaxFrameBytes, 0,
-                                         kMaxDepth);
+const msgpack::unpack_limit kUnpackLimit(kMaxContainerEntries, kMaxContainerEntries, kMaxFrameBytes,
+                                         kMaxFrameBytes, 0, kMaxDepth);
 
-// Each message as a tuple of plain values (`rowOf`), and back (`fill`). The order of the values is the
-// wire's.
+// Conversion of each message to a tuple of plain values (`toRow`) and back (`setFromRow`). The order of the
+// values is the order on the wire.
 using MarkRow = std::tuple<std::string, std::uint32_t, Epoch, Sequence>;
 using GrantRow = std::tuple<std::string, std::uint32_t, Epoch, Sequence, std::int64_t, std::int64_t>;
 using LostRow = std::tuple<std::string, std::uint32_t, Epoch>;
@@ -32,59 +32,61 @@
 using CommandRow = std::tuple<std::string, std::uint32_t, Epoch, Sequence, std::string, lease::Incarnation,
                               bool, std::string>;
 
-JoinRequestRow rowOf(const JoinRequest& message) {
+JoinRequestRow toRow(const JoinRequest& message) {
   return {message.protocol,           message.fleet, message.member.name,
           message.member.incarnation, message.zone,  message.eligible};
 }
-void fill(JoinRequest& message, JoinRequestRow row) {
+void setFromRow(JoinRequest& message, JoinRequestRow row) {
   std::tie(message.protocol, message.fleet, message.member.name, message.member.incarnation, message.zone,
            message.eligible) = std::move(row);
 }
 
-VoterHandshakeRequestRow rowOf(const VoterHandshakeRequest& message) {
+VoterHandshakeRequestRow toRow(const VoterHandshakeRequest& message) {
   return {message.protocol, message.fleet, message.number, message.mark.incarnation, message.mark.startCount};
 }
-void fill(VoterHandshakeRequest& message, VoterHandshakeRequestRow row) {
+void setFromRow(VoterHandshakeRequest& message, VoterHandshakeRequestRow row) {
   std::tie(message.protocol, message.fleet, message.number, message.mark.incarnation,
            message.mark.startCount) = std::move(row);
 }
 
-VoterHandshakeResponseRow rowOf(const VoterHandshakeResponse& message) {
+VoterHandshakeResponseRow toRow(const VoterHandshakeResponse& message) {
   return {message.number, message.mark.incarnation, message.mark.startCount, message.rejection};
 }
-void fill(VoterHandshakeResponse& message, VoterHandshakeResponseRow row) {
+void setFromRow(VoterHandshakeResponse& message, VoterHandshakeResponseRow row) {
   std::tie(message.number, message.mark.incarnation, message.mark.startCount, message.rejection) =
       std::move(row);
 }
 
-JoinResponseRow rowOf(const JoinResponse& message) {
+JoinResponseRow toRow(const JoinResponse& message) {
   std::vector<MarkRow> marks;
   marks.reserve(message.marks.size());
   for (const auto& [key, mark] : message.marks)
     marks.emplace_back(key.task, key.shard, mark.epoch, mark.sequence);
   return {message.coordinator, message.members, std::move(marks)};
 }
-void fill(JoinResponse& message, JoinResponseRow row) {
+void setFromRow(JoinResponse& message, JoinResponseRow row) {
   std::vector<MarkRow> marks;
   std::tie(message.coordinator, message.members, marks) = std::move(row);
   for (auto& [task, shard, epoch, sequence] : marks)
     message.marks[{std::move(task), shard}] = {epoch, sequence, {}};
 }
 
-std::tuple<int> rowOf(const NotLeader& message) { return {message.leader}; }
-void fill(NotLeader& message, std::tuple<int> row) { std::tie(message.leader) = row; }
+std::tuple<int> toRow(const NotLeader& message) { return {message.leader}; }
+void setFromRow(NotLeader& message, std::tuple<int> row) { std::tie(message.leader) = row; }
 
-std::tuple<std::string> rowOf(const JoinRejected& message) { return {message.reason}; }
-void fill(JoinRejected& message, std::tuple<std::string> row) { std::tie(message.reason) = std::move(row); }
+std::tuple<std::string> toRow(const JoinRejected& message) { return {message.reason}; }
+void setFromRow(JoinRejected& message, std::tuple<std::string> row) {
+  std::tie(message.reason) = std::move(row);
+}
 
-HeartbeatRow rowOf(const Heartbeat& message) {
+HeartbeatRow toRow(const Heartbeat& message) {
   std::vector<MarkRow> held;
   held.reserve(message.held.size());
   for (const auto& lease : message.held)
     held.emplace_back(lease.key.task, lease.key.shard, lease.epoch, lease.sequence);
   return {message.sentAt.time_since_epoch().count(), std::move(held)};
 }
-void fill(Heartbeat& message, HeartbeatRow row) {
+void setFromRow(Heartbeat& message, HeartbeatRow row) {
   std::int64_t sentAt = 0;
   std::vector<MarkRow> held;
   std::tie(sentAt, held) = std::move(row);
@@ -93,7 +95,7 @@
     message.held.push_back({{std::move(task), shard}, epoch, sequence});
 }
 
-HeartbeatResponseRow rowOf(const HeartbeatResponse& message) {
+HeartbeatResponseRow toRow(const HeartbeatResponse& message) {
   std::vector<GrantRow> granted;
   granted.reserve(message.granted.size());
   for (const LeaseGrant& grant : message.granted)
@@ -104,7 +106,7 @@
   for (const LostLease& lease : message.lost) lost.emplace_back(lease.key.task, lease.key.shard, lease.epoch);
   return {message.members, std::move(granted), std::move(lost)};
 }
-void fill(HeartbeatResponse& message, HeartbeatResponseRow row) {
+void setFromRow(HeartbeatResponse& message, HeartbeatResponseRow row) {
   std::vector<GrantRow> granted;
   std::vector<LostRow> lost;
   std::tie(message.members, granted, lost) = std::move(row);
@@ -118,49 +120,50 @@
     message.lost.push_back(LostLease{LeaseKey{std::move(task), shard}, epoch});
 }
 
-ReleaseLeaseRow rowOf(const ReleaseLease& message) {
+ReleaseLeaseRow toRow(const ReleaseLease& message) {
   return {message.key.task, message.key.shard, message.epoch, message.failed};
 }
-void fill(ReleaseLease& message, ReleaseLeaseRow row) {
+void setFromRow(ReleaseLease& message, ReleaseLeaseRow row) {
   std::tie(message.key.task, message.key.shard, message.epoch, message.failed) = std::move(row);
 }
 
-LostRow rowOf(const TransferLease& message) { return {message.key.task, message.key.shard, message.epoch}; }
-void fill(TransferLease& message, LostRow row) {
+LostRow toRow(const TransferLease& message) { return {message.key.task, message.key.shard, message.epoch}; }
+void setFromRow(TransferLease& message, LostRow row) {
   std::tie(message.key.task, message.key.shard, message.epoch) = std::move(row);
 }
 
-CommandRow rowOf(const Command& message) {
+CommandRow toRow(const Command& message) {
   const lease::FencingToken& token = message.token;
   return {token.key.task,    token.key.shard,          token.epoch,      token.sequence,
           token.holder.name, token.holder.incarnation, message.retained, message.body};
 }
-void fill(Command& message, CommandRow row) {
+void setFromRow(Command& message, CommandRow row) {
   lease::FencingToken& token = message.token;
   std::tie(token.key.task, token.key.shard, token.epoch, token.sequence, token.holder.name,
            token.holder.incarnation, message.retained, message.body) = std::move(row);
 }
 
-std::tuple<> rowOf(const Leave& /*message*/) { return {}; }
-void fill(Leave& /*message*/, std::tuple<> /*row*/) {}
+std::tuple<> toRow(const Leave& /*message*/) { return {}; }
+void setFromRow(Leave& /*message*/, std::tuple<> /*row*/) {}
 
 template <class T>
-using RowOf = decltype(rowOf(std::declval<T>()));
+using RowFor = decltype(toRow(std::declval<T>()));
 
 template <std::size_t Kind = 0>
-Message read(std::size_t kind, const msgpack::object& values) {
+Message decodeKind(std::size_t kind, const msgpack::object& values) {
   if constexpr (Kind < std::variant_size_v<Message>) {
-    if (kind != Kind) return read<Kind + 1>(kind, values);
+    if (kind != Kind) return decodeKind<Kind + 1>(kind, values);
     using T = std::variant_alternative_t<Kind, Message>;
-    constexpr std::size_t expected = std::tuple_size_v<RowOf<T>>;
-    // The library fills a tuple from a shorter array without an error, and the rest would keep its defaults.
+    constexpr std::size_t expected = std::tuple_size_v<RowFor<T>>;
+    // The library converts a shorter array to a tuple without an error and leaves the other values at their
+    // defaults.
     if (values.type != msgpack::type::ARRAY)
       throw BadFrame("a message of kind " + std::to_string(kind) + " whose values are no array");
     if (values.via.array.size != expected)
       throw BadFrame("a message of kind " + std::to_string(kind) + " with " +
                      std::to_string(values.via.array.size) + " values, expected " + std::to_string(expected));
     T message;
-    fill(message, values.as<RowOf<T>>());
+    setFromRow(message, values.as<RowFor<T>>());
     return message;
   } else {
     throw BadFrame("a message of unknown kind " + std::to_string(kind));
@@ -180,7 +183,7 @@
   msgpack::packer<msgpack::sbuffer> packer(buffer);
   packer.pack_array(2);
   packer.pack(static_cast<std::uint32_t>(message.index()));
-  std::visit([&packer](const auto& typed) { packer.pack(rowOf(typed)); }, message);
+  std::visit([&packer](const auto& typed) { packer.pack(toRow(typed)); }, message);
   const std::size_t size = buffer.size() - kFrameLengthBytes;
   if (size > kMaxFrameBytes)
     throw BadFrame("a frame of " + std::to_string(size) + " bytes, expected at most " +
@@ -198,11 +201,11 @@
     const msgpack::object& object = handle.get();
     if (end != payload.size() || object.type != msgpack::type::ARRAY || object.via.array.size != 2)
       throw BadFrame("a frame that is no pair of kind and values");
-    return read(object.via.array.ptr[0].as<std::uint32_t>(), object.via.array.ptr[1]);
+    return decodeKind(object.via.array.ptr[0].as<std::uint32_t>(), object.via.array.ptr[1]);
   } catch (const msgpack::unpack_error& bad) {
-    throw BadFrame(std::string("a frame that can't be read: ") + bad.what());
+    throw BadFrame(std::string("a frame that is not valid MessagePack: ") + bad.what());
   } catch (const msgpack::type_error& bad) {
-    throw BadFrame(std::string("a value of another type: ") + bad.what());
+    throw BadFrame(std::string("a value of an unexpected type: ") + bad.what());
   }
 }
 
--- a/src/fleet/frame.hpp
+++ b/src/fleet/frame.hpp
@@ -1,5 +1,6 @@
-// Messages on the wire: one MessagePack array of kind and values behind its length in four bytes, most
-// significant first. A frame is bounded before it is kept, and checked whole before it is used.
+// Wire encoding of messages. A frame is its payload's length in four bytes, big-endian, followed by the
+// payload: a MessagePack array of the message's kind and its values. The length is checked before the payload
+// is buffered, and the whole payload before it is used.
 #pragma once
 
 #include <cstddef>
@@ -12,22 +13,22 @@
 
 namespace cairnjunction::fleet {
 
-// Bytes of a frame behind its length. An endpoint list of 10,000 entries has 2 MB.
+// Maximum payload size in bytes. An endpoint list of 10,000 entries takes 2 MB.
 inline constexpr std::size_t kMaxFrameBytes = 4 << 20;
-// Bytes of the length before each frame.
+// Size in bytes of the length field before each payload.
 inline constexpr std::size_t kFrameLengthBytes = 4;
 
-// What was found in place of a frame.
+// A frame or message is invalid. The text says what was found and what was expected.
 struct BadFrame : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// One frame with its length, shared by all the links it goes to.
+// An encoded frame including its length field, shared by all links that send it.
 using SharedFrame = std::shared_ptr<const std::string>;
 
-// Throws BadFrame if the message has more than kMaxFrameBytes.
+// Throws BadFrame if the payload has more than kMaxFrameBytes.
 SharedFrame encode(const Message& message);
-// `payload`: a frame without its length. Throws BadFrame.
+// `payload` is a frame without its length field. Throws BadFrame if it is not exactly one valid message.
 Message decode(std::string_view payload);
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/held_leases.cpp
+++ b/src/fleet/held_leases.cpp
@@ -23,18 +23,19 @@
 
 void HeldLeases::onGrant(const LeaseGrant& grant, BootTime now) {
   HeldLease& lease = leases_[grant.key];
-  const Epoch before = lease.epoch();
+  const Epoch formerEpoch = lease.epoch();
   lease.granted(grant.epoch, grant.sequence, grant.askedAt, grant.leaseDuration);
   if (!lease.isValid(now) || lease.epoch() != grant.epoch) return;
   const std::optional<Epoch> active = activeEpoch(grant.key);
-  if (active && *active != grant.epoch) end(grant.key, *active, LeaseEndReason::superseded);
-  // The grant of an epoch comes once; after it a lease is only renewed, or has ended for good.
-  if (grant.epoch == before || active_.contains(grant.key)) return;
+  if (active && *active != grant.epoch) endLease(grant.key, *active, LeaseEndReason::superseded);
+  // An epoch is granted once. Later responses with the same epoch renew the lease, and never restart an ended
+  // one.
+  if (grant.epoch == formerEpoch || active_.contains(grant.key)) return;
   active_[grant.key] = grant.epoch;
   callbacks_.onBegin(grant.key, grant.epoch);
 }
 
-void HeldLeases::end(const LeaseKey& key, Epoch epoch, LeaseEndReason reason) {
+void HeldLeases::endLease(const LeaseKey& key, Epoch epoch, LeaseEndReason reason) {
   const auto it = active_.find(key);
   if (it == active_.end() || it->second != epoch) return;
   if (HeldLease& lease = leases_[key]; lease.epoch() == epoch) lease.end();
@@ -43,14 +44,14 @@
 }
 
 void HeldLeases::endAll(LeaseEndReason reason) {
-  const std::map<LeaseKey, Epoch> all = active_;
-  for (const auto& [key, epoch] : all) end(key, epoch, reason);
+  const std::map<LeaseKey, Epoch> activeLeases = active_;
+  for (const auto& [key, epoch] : activeLeases) endLease(key, epoch, reason);
 }
 
 void HeldLeases::endExpired(BootTime now) {
-  const std::map<LeaseKey, Epoch> all = active_;
-  for (const auto& [key, epoch] : all)
-    if (!leases_[key].isValid(now)) end(key, epoch, LeaseEndReason::expired);
+  const std::map<LeaseKey, Epoch> activeLeases = active_;
+  for (const auto& [key, epoch] : activeLeases)
+    if (!leases_[key].isValid(now)) endLease(key, epoch, LeaseEndReason::expired);
 }
 
 std::optional<Epoch> HeldLeases::activeEpoch(const LeaseKey& key) const {
@@ -69,7 +70,7 @@
   return leases_[key].nextToken(key, self, now);
 }
 
-std::vector<lease::LeasesRenewed::Held> HeldLeases::toRenew(BootTime now) const {
+std::vector<lease::LeasesRenewed::Held> HeldLeases::leasesToRenew(BootTime now) const {
   std::vector<lease::LeasesRenewed::Held> valid;
   for (const auto& [key, lease] : leases_)
     if (lease.isValid(now)) valid.push_back({key, lease.epoch(), lease.sequence()});
--- a/src/fleet/isolation_monitor.hpp
+++ b/src/fleet/isolation_monitor.hpp
@@ -1,4 +1,4 @@
-// Whether a member is isolated: no leader was heard of for the isolation timeout.
+// Detects that a member is isolated: it had no contact with a leader for the isolation timeout.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,23 +13,23 @@
 
 class IsolationMonitor {
  public:
-  // `onChange` is called after each change, with whether the member is isolated now. Never within the
-  // constructor.
+  // `onChange` is called after each change with the new state, never from within the constructor.
   IsolationMonitor(boost::asio::io_context& io, std::chrono::milliseconds timeout,
                    std::function<void(bool isolated)> onChange);
 
-  // A leader's answer has come.
-  void onLeaderHeard();
+  // A leader has responded. Ends the isolation, if any.
+  void onLeaderContact();
   bool isIsolated() const { return isolated_; }
 
  private:
-  void watch();
-  void check();
+  void scheduleCheck();
+  void checkTimeout();
 
   const std::chrono::milliseconds timeout_;
   std::function<void(bool)> onChange_;
   boost::asio::steady_timer timer_;
-  lease::BootTime heardAt_;  // the last answer, or the start; while isolated: the last look
+  lease::BootTime
+      lastContactAt_;  // time of the last response or of construction; while isolated, of the last check
   bool isolated_ = false;
   CallbackGuard lifetime_;
 };
--- a/src/fleet/lease_granting.cpp
+++ b/src/fleet/lease_granting.cpp
@@ -17,7 +17,7 @@
 void LeaseGranting::start() {
   running_ = true;
   nextRebalance_ = log_.now();
-  run();
+  runCycle();
 }
 
 void LeaseGranting::stop() {
@@ -26,21 +26,21 @@
   pending_.clear();
 }
 
-void LeaseGranting::run() {
+void LeaseGranting::runCycle() {
   if (!running_) return;
   grantFreeLeases();
   rebalance();
   timer_.expires_after(kGrantInterval);
   timer_.async_wait(lifetime_.guard([this](boost::system::error_code cancelled) {
-    if (!cancelled) run();
+    if (!cancelled) runCycle();
   }));
 }
 
 void LeaseGranting::grantFreeLeases() {
-  if (!log_.isLeader() || log_.sinceLeading() < settings_.leaderSettleTime) return;
+  if (!log_.isLeader() || log_.timeAsLeader() < settings_.leaderSettleTime) return;
   std::vector<lease::Candidate> candidates;
   for (const auto& [name, connection] : connections_.members())
-    if (connection->canBeGranted()) candidates.push_back({connection->member});
+    if (connection->canReceiveLeases()) candidates.push_back({connection->member});
   for (const lease::LeaseGranted& grant :
        lease::assignLeases(log_.table(), settings_.tasks, candidates, log_.now()))
     propose(grant);
@@ -49,11 +49,11 @@
 void LeaseGranting::propose(const lease::LeaseGranted& grant) {
   const PeerConnectionPtr connection = connections_.findJoined(grant.member);
   if (!connection || !pending_.insert(grant.key).second) return;
-  // The lease counts from a heartbeat that came before the log's time of the grant is read. One that comes
-  // while the entry is written would make the member's lease end later than the log's, and two members hold
-  // it for a moment.
+  // The lease is measured from a heartbeat that arrived before the log's time of the grant is read. If it
+  // were measured from a heartbeat that arrives while the entry is written, the member's lease would end
+  // later than the log's, and two members could hold it for a moment.
   const lease::BootTime askedAt = *connection->lastHeartbeat;
-  const LeaseChangeReason reason = whyFree(grant.key);
+  const LeaseChangeReason reason = vacancyReason(grant.key);
   log_.propose(
       grant, lifetime_.guard([this, grant, connection, askedAt, reason](const lease::ApplyResult& result) {
         pending_.erase(grant.key);
@@ -73,35 +73,35 @@
   if (!connection->ended) connection->link->send(HeartbeatResponse{connections_.memberCount(), {grant}, {}});
 }
 
-LeaseChangeReason LeaseGranting::whyFree(const LeaseKey& key) const {
+LeaseChangeReason LeaseGranting::vacancyReason(const LeaseKey& key) const {
   const lease::LeaseRecord* record = log_.table().find(key);
   if (!record) return LeaseChangeReason::vacant;
   return record->holder.name.empty() ? record->reason : LeaseChangeReason::expired;
 }
 
-// From the member that holds most to any that holds at least two fewer.
+// Moves one lease away from the member that holds the most, if another one holds at least two fewer.
 void LeaseGranting::rebalance() {
   if (log_.now() < nextRebalance_) return;
   nextRebalance_ = log_.now() + kRebalanceInterval;
-  PeerConnectionPtr most;
-  std::size_t mostHeld = 0;
-  std::size_t leastHeld = 0;
+  PeerConnectionPtr busiest;
+  std::size_t maxHeld = 0;
+  std::size_t minHeld = 0;
   for (const auto& [name, connection] : connections_.members()) {
-    if (!connection->canBeGranted()) continue;
+    if (!connection->canReceiveLeases()) continue;
     const std::size_t held = log_.table().held(connection->member, log_.now());
-    if (!most || held < leastHeld) leastHeld = held;
-    if (!most || held > mostHeld) {
-      most = connection;
-      mostHeld = held;
+    if (!busiest || held < minHeld) minHeld = held;
+    if (!busiest || held > maxHeld) {
+      busiest = connection;
+      maxHeld = held;
     }
   }
-  if (most && mostHeld >= leastHeld + 2) moveOneFrom(*most);
+  if (busiest && maxHeld >= minHeld + 2) requestTransferFrom(*busiest);
 }
 
-void LeaseGranting::moveOneFrom(const PeerConnection& connection) {
+void LeaseGranting::requestTransferFrom(const PeerConnection& connection) {
   for (const auto& [key, record] : log_.table().holdings()) {
     const lease::TaskSpec* spec = settings_.taskSpec(key.task);
-    // A task with one shard stays where it is: to move it would balance nothing.
+    // The lease of a task with a single shard is not moved: that would not improve the balance.
     const bool sharded = spec != nullptr && spec->shards > 1;
     if (record.holder != connection.member || !record.heldAt(log_.now()) || !sharded) continue;
     connection.link->send(TransferLease{key, record.epoch});
--- a/src/fleet/lease_granting.hpp
+++ b/src/fleet/lease_granting.hpp
@@ -1,5 +1,5 @@
-// The leader's part in who holds what: grants leases that nobody holds to members that can take them, and
-// moves leases from members that hold many to members that hold few.
+// Assignment of leases by the leader: grants free leases to eligible members, and rebalances by transferring
+// leases from the member that holds the most.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,40 +17,43 @@
 
 namespace cairnjunction::fleet {
 
-// What came of a request to move a lease.
+// Result of a request to transfer a lease.
 enum class TransferResult : std::uint8_t {
-  requested,          // its holder was asked to release it
-  notLeader,          // only the leader can ask
-  notHeld,            // nobody holds it
-  holderNotConnected  // somebody does, and can't be asked
+  requested,          // the lease holder was asked to release it
+  notLeader,          // this coordinator does not lead
+  notHeld,            // there is no lease holder
+  holderNotConnected  // there is a lease holder, but it is not connected
 };
 
 class LeaseGranting {
  public:
-  // How often the leader looks for leases that nobody holds: its part in how long there is no holder.
+  // How often the leader looks for free leases. Adds up to this much to the time without a lease holder.
   static constexpr std::chrono::milliseconds kGrantInterval{25};
-  // Each move is a moment without a holder, so one lease at a time is moved, and only so often.
+  // Minimum interval between two transfers for rebalancing. Each transfer leaves a lease without a holder for
+  // a moment, so only one lease is moved at a time.
   static constexpr lease::Duration kRebalanceInterval{1000};
 
   LeaseGranting(boost::asio::io_context& io, Settings settings, LeaseLog& log,
                 const ConnectionTable& connections, EventLog& events);
 
-  // While this coordinator leads.
+  // Called when this coordinator becomes the leader, and when it no longer is.
   void start();
   void stop();
-  // Grants what can be granted now; called by itself each kGrantInterval, and from outside when a lease was
+  // Proposes grants for all free leases that can be granted now; none before a new leader's settle time is
+  // over. Runs every kGrantInterval between start() and stop(); the coordinator also calls it when a lease is
   // released.
   void grantFreeLeases();
+  // Asks the lease holder to release the lease, so that it can be granted to another member.
   TransferResult transfer(const lease::LeaseKey& key);
 
  private:
-  void run();
+  void runCycle();
   void propose(const lease::LeaseGranted& grant);
   void onGranted(const PeerConnectionPtr& connection, const LeaseGrant& grant,
                  lease::LeaseChangeReason reason);
-  lease::LeaseChangeReason whyFree(const lease::LeaseKey& key) const;
+  lease::LeaseChangeReason vacancyReason(const lease::LeaseKey& key) const;
   void rebalance();
-  void moveOneFrom(const PeerConnection& connection);
+  void requestTransferFrom(const PeerConnection& connection);
 
   const Settings settings_;
   LeaseLog& log_;
@@ -58,7 +61,7 @@
   EventLog& events_;
   boost::asio::steady_timer timer_;
   bool running_ = false;               // between start() and stop()
-  std::set<lease::LeaseKey> pending_;  // proposed, and not applied yet; none while it does not run
+  std::set<lease::LeaseKey> pending_;  // grants proposed but not yet applied; empty unless running_
   lease::LogTime nextRebalance_{};
   CallbackGuard lifetime_;
 };
--- a/src/fleet/lease_log.cpp
+++ b/src/fleet/lease_log.cpp
@@ -7,13 +7,13 @@
 
 namespace cairnjunction::fleet {
 
-void LeaseLog::beginLeading() {
-  // A leader has applied all that was committed before it.
-  startedAt_ = table().now();
-  startedAtBoot_ = bootTime();
+void LeaseLog::onLeadershipAcquired() {
+  // A new leader has applied all entries that were committed before it.
+  leadershipStart_ = table().now();
+  leadershipStartBoot_ = bootTime();
 }
 
-lease::LogTime LeaseLog::now() const { return startedAt_ + (bootTime() - startedAtBoot_); }
+lease::LogTime LeaseLog::now() const { return leadershipStart_ + (bootTime() - leadershipStartBoot_); }
 
 void LeaseLog::propose(lease::Change change, std::function<void(const lease::ApplyResult&)> onApplied) {
   if (!log_) return;
--- a/src/fleet/lease_log.hpp
+++ b/src/fleet/lease_log.hpp
@@ -1,5 +1,5 @@
-// What the leader does with the replicated log: it proposes changes of leases, each with the log's time, and
-// reads what came of them. The log's time goes on only while a coordinator leads (docs/design/fleet.md).
+// The leader's access to the replicated log: proposes lease changes, each with the log's time, and returns
+// the results. The log's time advances only while a coordinator leads (docs/design/fleet.md).
 #pragma once
 
 #include <functional>
@@ -17,36 +17,37 @@
  public:
   explicit LeaseLog(const LeaseStateMachine& machine) : machine_(machine) {}
 
-  // Until this coordinator votes, and after it has stopped, there is no log. The log outlives this, or is
-  // detached.
+  // There is no log before this coordinator votes and after it has stopped. An attached log must outlive this
+  // object or be detached first.
   void attach(consensus::ReplicatedLog& log) { log_ = &log; }
   void detach() { log_ = nullptr; }
   bool isAttached() const { return log_ != nullptr; }
 
   bool isLeader() const { return log_ != nullptr && log_->isLeader(); }
-  // Why this coordinator takes no part in votes at present; nothing: it does, or has no log.
+  // Why this coordinator is paused as a voter; empty if it is not paused or no log is attached.
   std::optional<std::string> pauseReason() const { return log_ ? log_->pauseReason() : std::nullopt; }
-  // Number of the coordinator that leads; 0: not known.
+  // Number of the leader; 0 if unknown.
   int leader() const { return log_ ? log_->leader() : 0; }
 
-  // This coordinator leads from now on: the log's time goes on from the last entry, from this moment.
-  void beginLeading();
-  // By the leader's count. Between two entries it grows by no more than real time has passed, across leaders
-  // too.
+  // This coordinator has become the leader: the log's time continues from that of the last entry.
+  void onLeadershipAcquired();
+  // The log's time, by the leader's count. Between two entries it advances by no more than the real time that
+  // passed, also across leaders.
   lease::LogTime now() const;
-  // Since beginLeading().
-  lease::Duration sinceLeading() const { return now() - startedAt_; }
+  // Time since onLeadershipAcquired().
+  lease::Duration timeAsLeader() const { return now() - leadershipStart_; }
 
   const lease::LeaseTable& table() const { return machine_.table(); }
-  // `onApplied` is called once the change is applied, at this very entry; never if leadership was lost, when
-  // it is not known whether it will be.
+  // Proposes a change with the current log time. `onApplied` is called once, with the result, right after the
+  // entry was applied. It is never called if leadership is lost or no log is attached; after a loss of
+  // leadership it is not known whether the entry will be applied.
   void propose(lease::Change change, std::function<void(const lease::ApplyResult&)> onApplied);
 
  private:
   const LeaseStateMachine& machine_;
-  consensus::ReplicatedLog* log_ = nullptr;  // null: not attached
-  lease::LogTime startedAt_{};               // the log's time at beginLeading(),
-  lease::BootTime startedAtBoot_{};          // and this machine's
+  consensus::ReplicatedLog* log_ = nullptr;  // null if not attached
+  lease::LogTime leadershipStart_{};         // the log's time at onLeadershipAcquired()
+  lease::BootTime leadershipStartBoot_{};    // this machine's boot time at the same moment
   CallbackGuard lifetime_;
 };
 
--- a/src/fleet/lease_renewal.cpp
+++ b/src/fleet/lease_renewal.cpp
@@ -7,8 +7,8 @@
 
 void LeaseRenewal::onHeartbeat(const PeerConnectionPtr& connection, const Heartbeat& heartbeat) {
   connection->lastHeartbeat = heartbeat.sentAt;
-  if (heartbeat.held.empty()) return send(*connection, {}, {});
-  // One entry on the log renews all leases that have the same duration.
+  if (heartbeat.held.empty()) return sendResponse(*connection, {}, {});
+  // A single log entry renews all leases of the same duration.
   std::map<lease::Duration, HeldList> byDuration;
   std::vector<LostLease> unknown;
   for (const auto& held : heartbeat.held) {
@@ -16,7 +16,7 @@
       byDuration[spec->leaseDuration].push_back(held);
     else unknown.push_back({held.key, held.epoch});
   }
-  if (!unknown.empty()) send(*connection, {}, std::move(unknown));
+  if (!unknown.empty()) sendResponse(*connection, {}, std::move(unknown));
   for (const auto& [duration, held] : byDuration) renew(connection, held, duration, heartbeat.sentAt);
 }
 
@@ -32,13 +32,13 @@
       if (renewed) granted.push_back({asked.key, asked.epoch, asked.sequence, askedAt, leaseDuration});
       else lost.push_back({asked.key, asked.epoch});
     }
-    send(*connection, std::move(granted), std::move(lost));
+    sendResponse(*connection, std::move(granted), std::move(lost));
   };
   log_.propose(lease::LeasesRenewed{connection->member, held, leaseDuration}, lifetime_.guard(onApplied));
 }
 
-void LeaseRenewal::send(const PeerConnection& connection, std::vector<LeaseGrant> granted,
-                        std::vector<LostLease> lost) const {
+void LeaseRenewal::sendResponse(const PeerConnection& connection, std::vector<LeaseGrant> granted,
+                                std::vector<LostLease> lost) const {
   connection.link->send(HeartbeatResponse{connections_.memberCount(), std::move(granted), std::move(lost)});
 }
 
--- a/src/fleet/lease_renewal.hpp
+++ b/src/fleet/lease_renewal.hpp
@@ -1,5 +1,5 @@
-// The leader's answers to heartbeats: leases that a member says it holds are renewed by the log, or it is
-// told that it has lost them.
+// The leader's responses to heartbeats. The leases that a member reports are renewed through the log, or
+// reported back as lost.
 #pragma once
 
 #include <map>
@@ -18,16 +18,17 @@
   LeaseRenewal(Settings settings, LeaseLog& log, const ConnectionTable& connections)
       : settings_(std::move(settings)), log_(log), connections_(connections) {}
 
-  // Of a member that has joined. The answer is sent at once if nothing is held, otherwise when it is on the
-  // log.
+  // Handles a heartbeat of a joined member. The response is sent at once if the member holds no lease,
+  // otherwise when the renewal was applied. Leases of unknown tasks are reported as lost at once, in a
+  // response of their own.
   void onHeartbeat(const PeerConnectionPtr& connection, const Heartbeat& heartbeat);
 
  private:
   using HeldList = std::vector<lease::LeasesRenewed::Held>;
   void renew(const PeerConnectionPtr& connection, const HeldList& held, lease::Duration leaseDuration,
              lease::BootTime askedAt);
-  void send(const PeerConnection& connection, std::vector<LeaseGrant> granted,
-            std::vector<LostLease> lost) const;
+  void sendResponse(const PeerConnection& connection, std::vector<LeaseGrant> granted,
+                    std::vector<LostLease> lost) const;
 
   const Settings settings_;
   LeaseLog& log_;
--- a/src/fleet/lease_state_machine.hpp
+++ b/src/fleet/lease_state_machine.hpp
@@ -11,13 +11,14 @@
 
 class LeaseStateMachine final : public consensus::StateMachine {
  public:
-  // An entry that can't be decoded is of another version. It changes nothing, on all coordinators alike.
+  // An entry that can't be decoded was written by another version. It is ignored, on every coordinator alike;
+  // lastResult() is then a rejection as invalid.
   void apply(std::string_view entry) override;
   std::string snapshot() const override { return table_.snapshot(); }
   void restore(std::string_view bytes) override { table_.restore(bytes); }
 
   const lease::LeaseTable& table() const { return table_; }
-  // Of the last entry.
+  // Result of the last applied entry.
   const lease::ApplyResult& lastResult() const { return lastResult_; }
 
  private:
--- a/src/fleet/link.cpp
+++ b/src/fleet/link.cpp
@@ -7,7 +7,7 @@
 namespace cairnjunction::fleet {
 namespace {
 
-// A buffer that grew beyond this for one frame is freed after it.
+// A receive buffer larger than this is freed after its frame was handled.
 constexpr std::size_t kMaxIdleBufferBytes = 64 << 10;
 
 }  // namespace
@@ -41,12 +41,12 @@
   std::shared_ptr<Link> link(new Link(io, tcp::socket(io), limits, std::move(callbacks)));
   link->receiveTimer_.expires_after(limits.connectTimeout);
   link->receiveTimer_.async_wait([link](ErrorCode error) {
-    if (!error && !link->up_) link->close(LinkEnd::connectTimeout);
+    if (!error && !link->connected_) link->close(LinkEnd::connectTimeout);
   });
   link->socket_.async_connect(address, [link](ErrorCode error) {
     if (link->ended_) return;
     if (error) return link->close(LinkEnd::connectionRefused, error.message());
-    link->begin();
+    link->onSocketReady();
     if (link->callbacks_.onConnected) link->callbacks_.onConnected();
   });
   return link;
@@ -55,14 +55,14 @@
 std::shared_ptr<Link> Link::accepted(boost::asio::io_context& io, tcp::socket socket, const Limits& limits,
                                      Callbacks callbacks) {
   std::shared_ptr<Link> link(new Link(io, std::move(socket), limits, std::move(callbacks)));
-  link->begin();
+  link->onSocketReady();
   return link;
 }
 
-void Link::begin() {
+void Link::onSocketReady() {
   ErrorCode ignored;
   socket_.set_option(tcp::no_delay(true), ignored);
-  up_ = true;
+  connected_ = true;
   restartReceiveTimer();
   readLength();
   if (!queue_.empty()) writeNext();
@@ -102,7 +102,7 @@
 
 void Link::onPayload(std::size_t size) {
   bytesIn_ += size + length_.size();
-  // Only whole frames count: a peer that sends a byte now and then is as good as silent.
+  // Only complete frames restart the timer, so a peer that sends single bytes times out as well.
   restartReceiveTimer();
   try {
     callbacks_.onMessage(decode(payload_));
@@ -115,19 +115,19 @@
 }
 
 void Link::send(SharedFrame frame) {
-  if (ended_ || finishing_) return;
+  if (ended_ || pendingEnd_) return;
   queuedBytes_ += frame->size();
   queue_.push_back(std::move(frame));
   if (queuedBytes_ > limits_.maxQueuedBytes)
     return close(LinkEnd::sendTimeout, std::to_string(queuedBytes_) + " bytes wait to be written");
-  if (up_ && !writing_) writeNext();
+  if (connected_ && !writing_) writeNext();
 }
 
 void Link::writeNext() {
   writing_ = true;
   sendTimer_.expires_after(limits_.sendTimeout);
   sendTimer_.async_wait([self = shared_from_this()](ErrorCode error) {
-    if (!error && self->writing_) self->close(LinkEnd::sendTimeout, "a frame was not accepted in time");
+    if (!error && self->writing_) self->close(LinkEnd::sendTimeout, "writing a frame timed out");
   });
   boost::asio::async_write(
       socket_, boost::asio::buffer(*queue_.front()),
@@ -144,15 +144,15 @@
   queuedBytes_ -= queue_.front()->size();
   queue_.pop_front();
   if (!queue_.empty()) return writeNext();
-  if (finishing_) close(*finishing_);
+  if (pendingEnd_) close(*pendingEnd_);
 }
 
-void Link::onSocketError(ErrorCode error) { close(finishing_.value_or(LinkEnd::reset), error.message()); }
+void Link::onSocketError(ErrorCode error) { close(pendingEnd_.value_or(LinkEnd::reset), error.message()); }
 
 void Link::finish(LinkEnd end) {
-  if (ended_ || finishing_) return;
+  if (ended_ || pendingEnd_) return;
   if (queue_.empty()) return close(end);
-  finishing_ = end;
+  pendingEnd_ = end;
 }
 
 void Link::close(LinkEnd end, const std::string& detail) {
@@ -164,7 +164,7 @@
 
 void Link::abandon() {
   ended_ = true;
-  up_ = false;
+  connected_ = false;
   receiveTimer_.cancel();
   sendTimer_.cancel();
   ErrorCode ignored;
--- a/src/fleet/link.hpp
+++ b/src/fleet/link.hpp
@@ -1,5 +1,5 @@
-// One TCP connection of the fleet: frames in and out, with bounds on time and memory. Every way in which it
-// can end has a name, so that logs and tests say what was seen.
+// A TCP connection between a member and a coordinator, or two coordinators, that carries frames with limits
+// on time and memory. Every way in which it can end has a name, for logs and tests.
 #pragma once
 
 #include <array>
@@ -19,54 +19,59 @@
 
 namespace cairnjunction::fleet {
 
-// Why a link ended, by what this side saw.
+// Why a link ended, as observed on this side.
 enum class LinkEnd : std::uint8_t {
-  connectionRefused,  // connecting failed: nobody listens, or there is no route
+  connectionRefused,  // connecting failed: nothing listens there, or there is no route
   connectTimeout,     // the connection was not established within Limits::connectTimeout
   rejected,           // the peer sent JoinRejected, with its reason
-  receiveTimeout,     // no whole frame came within Limits::receiveTimeout: half open, cut, or the peer hangs
-  sendTimeout,        // more than Limits::maxQueuedBytes waited, or one frame for longer than sendTimeout
-  reset,              // the peer closed or reset the connection, perhaps in the middle of a frame
-  badFrame,           // what came is no frame, or a message that the peer must not send
-  notLeader,          // the peer does not lead, or (at a coordinator) this side leads no longer
-  stopped             // this side closed it for a reason of its own
+  receiveTimeout,  // no complete frame arrived within Limits::receiveTimeout: half-open connection, or a peer
+                   // that hangs
+  sendTimeout,     // more than Limits::maxQueuedBytes were queued, or writing one frame took longer than
+                   // sendTimeout
+  reset,           // the peer closed or reset the connection, possibly within a frame
+  badFrame,        // received an invalid frame, or a message that the peer must not send
+  notLeader,       // the peer does not lead, or, at a coordinator, this side no longer leads
+  stopped          // this side closed the link for another reason
 };
-// As it stands in log lines.
+// The name in event log lines.
 std::string_view nameOf(LinkEnd end);
 
-// Kept alive by its own pending operations; the holder of a pointer that goes away calls abandon() first.
-// All calls and callbacks are on the event loop's thread.
+// Pending operations keep the object alive, so an owner must call abandon() before what the callbacks use is
+// destroyed. All calls and callbacks are on the event loop's thread.
 class Link : public std::enable_shared_from_this<Link> {
  public:
   struct Limits {
     std::chrono::milliseconds connectTimeout{1000};
-    std::chrono::milliseconds receiveTimeout{3000};   // between whole frames that are received
-    std::chrono::milliseconds sendTimeout{3000};      // for one frame to be accepted by the system
+    std::chrono::milliseconds receiveTimeout{3000};   // between complete received frames
+    std::chrono::milliseconds sendTimeout{3000};      // for writing one frame to the socket
     std::size_t maxQueuedBytes = 2 * kMaxFrameBytes;  // bytes that wait to be written
   };
   struct Callbacks {
-    std::function<void()> onConnected;  // of a link that was dialled; may be empty
+    std::function<void()> onConnected;  // dialled links only; may be empty
     std::function<void(const Message&)> onMessage;
-    std::function<void(LinkEnd, const std::string& detail)> onEnd;  // once, and no callback after it
+    std::function<void(LinkEnd, const std::string& detail)> onEnd;  // called once; no callback follows it
   };
 
+  // Starts to connect to `address`. The callbacks are never called before this returns.
   static std::shared_ptr<Link> dial(boost::asio::io_context& io,
                                     const boost::asio::ip::tcp::endpoint& address, const Limits& limits,
                                     Callbacks callbacks);
+  // Takes over a connected socket.
   static std::shared_ptr<Link> accepted(boost::asio::io_context& io, boost::asio::ip::tcp::socket socket,
                                         const Limits& limits, Callbacks callbacks);
 
-  // Queues a frame; it is written once the link is connected. May end the link with sendTimeout at once.
+  // Queues a frame, which is written once the link is connected. May end the link with sendTimeout before it
+  // returns. Does nothing after finish() or the end. Encoding a message may throw BadFrame.
   void send(const Message& message) { send(encode(message)); }
   void send(SharedFrame frame);
-  // Writes what is queued, for as long as sendTimeout allows, and then ends with `end`.
+  // Ends with `end` after the queue is written; sendTimeout still applies to each frame.
   void finish(LinkEnd end);
-  // Ends at once; what is queued is dropped.
+  // Ends at once and drops the queue.
   void close(LinkEnd end, const std::string& detail = {});
-  // Ends at once without a call to onEnd.
+  // Ends at once, without calling any callback.
   void abandon();
 
-  bool isUp() const { return up_; }
+  bool isConnected() const { return connected_; }
   std::uint64_t bytesIn() const { return bytesIn_; }
   std::uint64_t bytesOut() const { return bytesOut_; }
 
@@ -75,7 +80,7 @@
 
   Link(boost::asio::io_context& io, boost::asio::ip::tcp::socket socket, const Limits& limits,
        Callbacks callbacks);
-  void begin();
+  void onSocketReady();
   void restartReceiveTimer();
   void readLength();
   void readPayload(std::size_t size);
@@ -85,20 +90,21 @@
   void onSocketError(ErrorCode error);
 
   boost::asio::ip::tcp::socket socket_;
-  boost::asio::steady_timer receiveTimer_;  // while connecting: for connectTimeout
+  boost::asio::steady_timer receiveTimer_;  // before the link is connected: for connectTimeout
   boost::asio::steady_timer sendTimer_;     // runs while a frame is being written
   Limits limits_;
   Callbacks callbacks_;  // onEnd is empty once the link has ended
   std::array<unsigned char, kFrameLengthBytes> length_{};
   std::string payload_;
-  std::deque<SharedFrame> queue_;  // its front is the frame that is being written, if writing_
-  std::size_t queuedBytes_ = 0;    // the sum of queue_
-  std::uint64_t bytesIn_ = 0;      // of whole frames
+  std::deque<SharedFrame> queue_;  // if writing_, its front is being written
+  std::size_t queuedBytes_ = 0;    // sum of the sizes in queue_
+  std::uint64_t bytesIn_ = 0;      // of complete frames, with their length fields
   std::uint64_t bytesOut_ = 0;
-  bool up_ = false;                   // connected and not ended
-  bool ended_ = false;                // nothing is read, written or called back any more
-  bool writing_ = false;              // one frame is with the system
-  std::optional<LinkEnd> finishing_;  // ends so once queue_ is empty; nothing is added to it
+  bool connected_ = false;  // connected and not ended
+  bool ended_ = false;      // no more reads, writes or callbacks
+  bool writing_ = false;    // a write of the queue's front is pending
+  std::optional<LinkEnd>
+      pendingEnd_;  // set by finish(): ends so when queue_ is empty; nothing more is queued
 };
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/member.cpp
+++ b/src/fleet/member.cpp
@@ -22,7 +22,8 @@
   return fields;
 }
 
-// Another one with each start of a process, never 0; 63 bits, which every reader of JSON keeps.
+// Unique per process start and never 0. Only 63 bits, because not every JSON parser reads 64-bit unsigned
+// integers.
 lease::Incarnation drawIncarnation() {
   std::random_device random;
   const std::uint64_t bits = static_cast<std::uint64_t>(random()) << 32 | random();
@@ -43,14 +44,14 @@
                }}),
       receiver_(io, settings.disk, log,
                 {[this](const Command& command) { events_.onCommand(command); },
-                 [this] { connection_.drop("the disk failed"); }}),
+                 [this] { connection_.closeLink("the disk failed"); }}),
       isolation_(io, settings.isolatedAfter, [this](bool isolated) { onIsolationChange(isolated); }),
       connection_(io, settings, log, connectionCallbacks()),
       heartbeatTimer_(io),
       expiryTimer_(io),
       leaveTimer_(io),
       memberCount_(settings.members) {
-  log_.write(Event::started, {{"incarnation", self_.incarnation}, {"marks", receiver_.storedMarks()}});
+  log_.write(Event::started, {{"incarnation", self_.incarnation}, {"marks", receiver_.storedMarkCount()}});
   connection_.start();
 }
 
@@ -67,9 +68,9 @@
 
 void Member::onJoin(const JoinResponse& response) {
   memberCount_ = std::max<std::uint32_t>(response.members, 1);
-  receiver_.learn(response.marks);
+  receiver_.raiseMarks(response.marks);
   log_.write(Event::joined, {{"keeper", response.coordinator}, {"incarnation", self_.incarnation}});
-  isolation_.onLeaderHeard();
+  isolation_.onLeaderContact();
   sendHeartbeat();
   events_.onJoined();
 }
@@ -95,10 +96,10 @@
 // --- Leases
 
 void Member::sendHeartbeat() {
-  // Read before the heartbeat is written: the leases that it renews count from here, and the leader's count
-  // of them begins later.
+  // Read before the heartbeat is sent: this member measures the renewed leases from here, and the leader
+  // measures them from a later time.
   const BootTime now = bootTime();
-  if (!connection_.send(Heartbeat{now, leases_.toRenew(now)})) return;
+  if (!connection_.send(Heartbeat{now, leases_.leasesToRenew(now)})) return;
   scheduleHeartbeat(now + settings_.heartbeatInterval);
 }
 
@@ -112,8 +113,8 @@
 void Member::onHeartbeatResponse(const HeartbeatResponse& response) {
   if (!hasJoined()) return;
   memberCount_ = std::max<std::uint32_t>(response.members, 1);
-  isolation_.onLeaderHeard();
-  for (const LostLease& lost : response.lost) leases_.end(lost.key, lost.epoch, LeaseEndReason::revoked);
+  isolation_.onLeaderContact();
+  for (const LostLease& lost : response.lost) leases_.endLease(lost.key, lost.epoch, LeaseEndReason::revoked);
   for (const LeaseGrant& grant : response.granted)
     if (!leaving_) leases_.onGrant(grant, bootTime());
   scheduleExpiry();
@@ -121,7 +122,7 @@
 
 void Member::onLeaseBegin(const LeaseKey& key, Epoch epoch) {
   log_.write(Event::leaseAcquired, fieldsOf(key, epoch));
-  // The lease counts from a heartbeat of some time ago; it is renewed at once.
+  // The lease is measured from an earlier heartbeat, so it is renewed at once.
   scheduleHeartbeat(bootTime());
   events_.onLeaseChange(key, true);
 }
@@ -133,7 +134,7 @@
   events_.onLeaseChange(key, false);
 }
 
-// A lease that was not renewed ends by this member's own clock, whether or not anything is heard.
+// A lease that was not renewed expires by this member's own clock, without any message.
 void Member::scheduleExpiry() {
   const std::optional<BootTime> next = leases_.nextExpiry();
   if (!next) return;
@@ -150,8 +151,8 @@
 void Member::release(const LeaseKey& key, bool failed) {
   const std::optional<Epoch> epoch = leases_.activeEpoch(key);
   if (!epoch) return;
-  // It stops acting before the leader is told, which may grant the lease to another member at once.
-  leases_.end(key, *epoch, failed ? LeaseEndReason::failed : LeaseEndReason::released);
+  // Stop acting before the leader is notified, since it may grant the lease to another member at once.
+  leases_.endLease(key, *epoch, failed ? LeaseEndReason::failed : LeaseEndReason::released);
   connection_.send(ReleaseLease{key, *epoch, failed});
 }
 
@@ -182,11 +183,11 @@
 bool Member::sendCommand(const LeaseKey& key, std::string body, bool retained) {
   if (!hasJoined()) return false;
   const std::optional<lease::FencingToken> token = leases_.nextToken(key, self_, bootTime());
-  if (!token || !receiver_.admitOwn(*token)) return false;
+  if (!token || !receiver_.admitOwnCommand(*token)) return false;
   const Command command{*token, retained, std::move(body)};
   log_.writeCommand(Event::commandSent, *token);
   connection_.send(command);
-  receiver_.applyOwn(command);
+  receiver_.applyOwnCommand(command);
   return true;
 }
 
--- a/src/fleet/member.hpp
+++ b/src/fleet/member.hpp
@@ -1,5 +1,5 @@
-// A gateway's side of the fleet: it joins the leader, holds leases and renews them by heartbeats, sends
-// commands as lease holder, and receives those of others. No call waits for the network or the disk.
+// A gateway as a member of the fleet. It joins the leader, holds leases and renews them by heartbeats, sends
+// commands as lease holder, and receives those of other members. No call blocks on the network or the disk.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,50 +21,53 @@
 
 class Member {
  public:
-  // How long leave() waits for the leader's answer.
+  // How long leave() waits for the leader's acknowledgement.
   static constexpr std::chrono::milliseconds kLeaveTimeout{500};
 
   struct Events {
-    // This member holds the lease from now on (sendCommand works), or no longer.
+    // This member begins to hold a lease (sendCommand() works from now on), or no longer holds it.
     std::function<void(const lease::LeaseKey&, bool holds)> onLeaseChange = [](const lease::LeaseKey&, bool) {
     };
-    // A command of another member, or one of its own, that passed the fencing gate: its effect is due now.
+    // A command of another member or of this one has passed the fencing gate and must be applied now.
     std::function<void(const Command&)> onCommand = [](const Command&) {};
-    // A leader has admitted it, perhaps another one than before, which was not sent its last commands.
+    // A leader has admitted this member. It may be a new leader that did not receive this member's last
+    // commands.
     std::function<void()> onJoined = [] {};
     // isIsolated() has changed.
     std::function<void()> onIsolationChange = [] {};
   };
 
-  // Dials at once. `name` is the same after a restart, and one process at a time has it. Throws
-  // std::runtime_error if there are fencing marks on the disk that can't be read.
+  // Dials a coordinator at once. `name` must be the same after a restart, and unique among running processes.
+  // Throws std::runtime_error if stored fencing marks can't be read.
   Member(boost::asio::io_context& io, const Settings& settings, const std::string& name, Events events,
          EventLog& log);
   ~Member() = default;
   Member(const Member&) = delete;
   Member& operator=(const Member&) = delete;
 
-  // Sends a command to all members, this one among them. False: it does not hold the lease, or has not
-  // joined; nobody is sent it then. `retained`: the last one of a key is also sent to members that join
-  // later.
+  // Sends a command to all members, including this one. Returns false, and sends nothing, if this member does
+  // not hold the lease or has not joined. The last `retained` command of each key is also sent to members
+  // that join later.
   bool sendCommand(const lease::LeaseKey& key, std::string body, bool retained);
-  // Whether it holds the lease at this moment.
+  // Whether this member holds the lease now.
   bool holds(const lease::LeaseKey& key) const;
-  // Gives the lease up; `failed`: because it can't do the task. Nothing happens if it does not hold it.
+  // Releases the lease; does nothing if this member does not hold it. `failed`: it can't do the task.
   void release(const lease::LeaseKey& key, bool failed);
-  // Releases all leases for good, and goes on receiving commands. `done` is called once the leader knows, or
-  // after kLeaveTimeout; at once if it has not joined.
+  // Releases all leases and accepts none from now on; commands are still received. `done` is called once:
+  // when the leader has acknowledged, when the link ends, after kLeaveTimeout, or at once if this member has
+  // not joined.
   void leave(std::function<void()> done);
 
-  // No leader was heard of for Settings::isolatedAfter.
+  // Whether there was no contact with a leader for Settings::isolatedAfter.
   bool isIsolated() const { return isolation_.isIsolated(); }
   bool hasJoined() const { return connection_.hasJoined(); }
-  // By the leader's last answer, at least 1; until there is one, as the settings expect.
+  // Number of connected members in the leader's last response, at least 1; before the first response,
+  // Settings::members.
   std::uint32_t memberCount() const { return memberCount_; }
   const lease::Member& self() const { return self_; }
   const lease::FencingGate& fencingGate() const { return receiver_.gate(); }
   std::uint64_t rejectedCommands() const { return receiver_.gate().rejectedCount(); }
-  // How the last link to a coordinator ended; empty: none has.
+  // How the last link to a coordinator ended; empty if none has ended yet.
   const std::string& lastLinkEnd() const { return connection_.lastLinkEnd(); }
 
  private:
@@ -90,11 +93,11 @@
   CommandReceiver receiver_;
   IsolationMonitor isolation_;
   CoordinatorConnection connection_;
-  boost::asio::steady_timer heartbeatTimer_;  // runs while it has joined
-  boost::asio::steady_timer expiryTimer_;     // runs while a lease is held; for the first to expire
-  boost::asio::steady_timer leaveTimer_;      // runs while onLeft_ is due
-  bool leaving_ = false;                      // leave() was called: no grant is accepted
-  std::function<void()> onLeft_;              // of leave(); empty once it was called
+  boost::asio::steady_timer heartbeatTimer_;  // runs while joined
+  boost::asio::steady_timer expiryTimer_;     // runs while a lease is held, until the first expiry
+  boost::asio::steady_timer leaveTimer_;      // runs while onLeft_ is pending
+  bool leaving_ = false;                      // leave() was called: grants are ignored
+  std::function<void()> onLeft_;              // the callback of leave(); empty after it was called
   std::uint32_t memberCount_;
   CallbackGuard lifetime_;
 };
--- a/src/fleet/messages.hpp
+++ b/src/fleet/messages.hpp
@@ -1,9 +1,8 @@
-// The messages between members and coordinators. How they are written on the wire: frame.hpp.
-//
-// A member dials the coordinator that leads and sends JoinRequest; the answer is JoinResponse, NotLeader or
-// JoinRejected. From then on Heartbeat and HeartbeatResponse carry the renewal of leases, and Commands of
-// lease holders are forwarded by the leader to all other members. Coordinators exchange VoterHandshakeRequest
-// and VoterHandshakeResponse before one of them votes.
+// The messages between members and coordinators, and among coordinators. frame.hpp encodes them.
+// A member dials the leader and sends JoinRequest; the response is JoinResponse, NotLeader or JoinRejected.
+// Once joined, leases are renewed by Heartbeat and HeartbeatResponse, and the leader forwards Commands of
+// lease holders to all other members. A coordinator exchanges VoterHandshakeRequest and
+// VoterHandshakeResponse with each other coordinator before it votes.
 #pragma once
 
 #include <cstdint>
@@ -18,109 +17,111 @@
 
 namespace cairnjunction::fleet {
 
-// Version of the messages; both sides of a link must have the same.
+// Protocol version; both sides of a link must have the same.
 inline constexpr int kProtocol = 1;
 
-// The fencing mark of each key, as receivers and their files keep them.
+// The fencing mark of each key, as receivers store them.
 using FencingMarks = std::map<lease::LeaseKey, lease::FencingGate::FencingMark>;
 
-// Member to coordinator, first on each link.
+// Member to coordinator: the first message on each link.
 struct JoinRequest {
   int protocol = kProtocol;
-  std::string fleet;     // the fleet's name by the member's fleet file
+  std::string fleet;     // the fleet's name in the member's fleet file
   lease::Member member;  // name and incarnation of the process
   std::string zone;      // may be empty
   bool eligible = true;  // whether it may be granted leases
 };
 
-// Coordinator to each other coordinator, first on the link, before it votes.
+// Coordinator to another coordinator, before it votes: the first message on the link.
 struct VoterHandshakeRequest {
   int protocol = kProtocol;
   std::string fleet;
-  int number = 0;             // of the sender, by the fleet file
-  consensus::VoterMark mark;  // of the sender's disk
+  int number = 0;             // of the sender in the fleet file
+  consensus::VoterMark mark;  // identifies the sender's disk
 };
 
-// The answer to VoterHandshakeRequest.
+// The response to VoterHandshakeRequest.
 struct VoterHandshakeResponse {
-  int number = 0;             // of the coordinator that answers
-  consensus::VoterMark mark;  // of its disk
-  std::string rejection;      // empty: the sender may vote; otherwise why it must not
+  int number = 0;             // of the responding coordinator
+  consensus::VoterMark mark;  // identifies its disk
+  std::string rejection;      // why the requester must not vote; empty if it may
 };
 
-// Leader to member, once the member's `MemberJoined` is applied from the log.
+// Leader to member, after the member's `MemberJoined` was applied from the log.
 struct JoinResponse {
   int coordinator = 0;        // number of the leader
-  std::uint32_t members = 0;  // members that are connected, this one among them
-  // Every epoch granted so far, each with the last sequence that its holder reported; without holders. A
-  // member rejects commands below these.
+  std::uint32_t members = 0;  // connected members, including the receiver
+  // The latest epoch granted for each key and the last sequence that its holder reported, less one: that last
+  // command is still accepted. The holders are empty. A member rejects commands that don't exceed these
+  // marks.
   FencingMarks marks;
 };
 
-// Coordinator to member, at any time: this coordinator does not lead. The link ends after it.
+// Coordinator to member, at any time: this coordinator does not lead. It is the last message on the link.
 struct NotLeader {
-  int leader = 0;  // number of the coordinator that leads; 0: not known
+  int leader = 0;  // number of the leader; 0 if unknown
 };
 
-// Coordinator to member or to coordinator, at any time: the peer does not belong here. The link ends after
-// it.
+// Coordinator to member or to coordinator, at any time: the peer is rejected. It is the last message on the
+// link.
 struct JoinRejected {
-  std::string reason;  // for people
+  std::string reason;  // human-readable
 };
 
-// Member to leader, once each heartbeat interval, and sooner after a grant. Renews what the member holds.
+// Member to leader, every heartbeat interval and right after a grant. Asks to renew the leases in `held`.
 struct Heartbeat {
-  lease::BootTime sentAt{};  // by the member's clock, read before this was written; it comes back
+  lease::BootTime sentAt{};  // the member's boot clock, read before sending; returned in LeaseGrant
   std::vector<lease::LeasesRenewed::Held> held;
 };
 
-// One lease in a HeartbeatResponse.
+// A granted or renewed lease in a HeartbeatResponse.
 struct LeaseGrant {
   lease::LeaseKey key;
   lease::Epoch epoch = 0;
   lease::Sequence sequence = 0;  // of the last command that the holder reported
-  lease::BootTime askedAt{};     // Heartbeat::sentAt that it answers: the lease counts from there
+  lease::BootTime askedAt{};     // Heartbeat::sentAt of the heartbeat that the lease is measured from
   lease::Duration leaseDuration{};
 };
 
-// One lease that the receiver holds no longer.
+// A lease that the receiver no longer holds.
 struct LostLease {
   lease::LeaseKey key;
   lease::Epoch epoch = 0;
   bool operator==(const LostLease&) const = default;
 };
 
-// Leader to member: the answer to a Heartbeat, or a new grant.
+// Leader to member: the response to a Heartbeat, or a new grant.
 struct HeartbeatResponse {
-  std::uint32_t members = 0;  // members that are connected
+  std::uint32_t members = 0;  // connected members
   std::vector<LeaseGrant> granted;
   std::vector<LostLease> lost;
 };
 
-// Lease holder to leader: it has stopped acting under this epoch.
+// Lease holder to leader: the sender has stopped acting under this epoch.
 struct ReleaseLease {
   lease::LeaseKey key;
   lease::Epoch epoch = 0;
-  bool failed = false;  // it can't do the task; it is granted again only after a backoff
+  bool failed = false;  // the sender can't do the task; it is granted the lease again only after a backoff
 };
 
-// Leader to lease holder: it is to release the lease soon, so that another member is granted it.
+// Leader to lease holder: release the lease, so that another member can be granted it.
 struct TransferLease {
   lease::LeaseKey key;
   lease::Epoch epoch = 0;
 };
 
-// Lease holder to leader, and forwarded as it is by the leader to all other members.
+// Lease holder to leader, which forwards it unchanged to all other members.
 struct Command {
   lease::FencingToken token;
-  bool retained = false;  // the last one of its key is sent to members that join later
-  std::string body;       // the meaning is the task's
+  bool retained = false;  // the last retained command of a key is also sent to members that join later
+  std::string body;       // interpreted by the task
 };
 
-// Member to leader: it stops, and holds nothing any more. Leader to member: that is on the log now.
+// Member to leader: the sender leaves and holds no lease any more. Leader to member: acknowledges that the
+// leave was applied from the log.
 struct Leave {};
 
-// The place in this list is the kind on the wire: append only.
+// A message's index in this list is its kind on the wire: append only.
 using Message =
     std::variant<JoinRequest, VoterHandshakeRequest, VoterHandshakeResponse, JoinResponse, NotLeader,
                  JoinRejected, Heartbeat, HeartbeatResponse, ReleaseLease, TransferLease, Command, Leave>;
--- a/src/fleet/retained_commands.hpp
+++ b/src/fleet/retained_commands.hpp
@@ -1,4 +1,5 @@
-// The last retained command of each key, which the leader sends to members that join later. Bounded.
+// The last retained command of each key, which the leader sends to members that join later. Bounded in bytes
+// and keys.
 #pragma once
 
 #include <cstddef>
@@ -10,17 +11,17 @@
 
 class RetainedCommands {
  public:
-  // Bytes of frames, over all keys.
+  // Total size of the frames of all keys.
   static constexpr std::size_t kMaxBytes = 16 << 20;
   static constexpr std::size_t kMaxKeys = lease::kKeysMost;
 
   struct Entry {
     lease::FencingToken token;
-    SharedFrame frame;  // the command as it came; never null
+    SharedFrame frame;  // the encoded command, never null
   };
 
-  // Stores a command and its frame, unless a later one of its key is stored, or there is no room; then
-  // nothing changes.
+  // Stores a command in place of an earlier one of its key. Does nothing if the stored command of the key is
+  // as recent, or a limit would be exceeded.
   void store(const lease::FencingToken& token, SharedFrame frame);
   void clear();
 
@@ -29,7 +30,7 @@
 
  private:
   std::map<lease::LeaseKey, Entry> entries_;  // at most kMaxKeys
-  std::size_t bytes_ = 0;                     // the sum of their frames, at most kMaxBytes
+  std::size_t bytes_ = 0;                     // sum of the sizes of the frames, at most kMaxBytes
 };
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/settings.cpp
+++ b/src/fleet/settings.cpp
@@ -14,9 +14,9 @@
 constexpr int kMaxMembers = 10'000;
 constexpr int kMaxShards = 256;
 constexpr int kMaxCoordinatorNumber = 1'000'000;
-// The shortest lease, in heartbeats: a holder that misses one, and the answer to the next, still has its
-// lease.
-constexpr int kMinHeartbeatsPerLease = 3;
+// Minimum lease duration and isolation timeout, in heartbeat intervals: a lease holder that misses one
+// heartbeat, and the response to the next, keeps its lease.
+constexpr int kMinHeartbeats = 3;
 
 std::string readName(Reader& reader, const char* key) {
   std::string value = reader.text(key);
@@ -34,8 +34,8 @@
   }
 }
 
-void readTime(Reader& reader, const char* key, std::int64_t least, std::int64_t most, milliseconds& value) {
-  value = milliseconds(reader.number(key, least, most, value.count()));
+void readTime(Reader& reader, const char* key, std::int64_t min, std::int64_t max, milliseconds& value) {
+  value = milliseconds(reader.number(key, min, max, value.count()));
 }
 
 CoordinatorAddress parseCoordinator(const ::toml::table& table, const std::string& file) {
@@ -57,7 +57,7 @@
   spec.task = readName(reader, "name");
   spec.shards = static_cast<std::uint32_t>(reader.number("shards", 1, kMaxShards, 1));
   readTime(reader, "lease_ms", lease::kLeaseLeast.count(), lease::kLeaseMost.count(), spec.leaseDuration);
-  if (spec.leaseDuration < kMinHeartbeatsPerLease * heartbeat)
+  if (spec.leaseDuration < kMinHeartbeats * heartbeat)
     reader.fail(reader.find("lease_ms"), "a lease of " + std::to_string(spec.leaseDuration.count()) +
                                              " ms is shorter than three beats of " +
                                              std::to_string(heartbeat.count()) + " ms");
@@ -72,7 +72,7 @@
   readTime(reader, "alone_after_ms", 200, 60'000, settings.isolatedAfter);
   readTime(reader, "settle_ms", 0, 60'000, settings.leaderSettleTime);
   readTime(reader, "election_ms", 100, 10'000, settings.electionTimeout);
-  if (settings.isolatedAfter < kMinHeartbeatsPerLease * settings.heartbeatInterval)
+  if (settings.isolatedAfter < kMinHeartbeats * settings.heartbeatInterval)
     reader.fail(reader.find("alone_after_ms"), "'alone_after_ms' is shorter than three beats");
 }
 
@@ -89,7 +89,7 @@
   const std::size_t count = settings.coordinators.size();
   if (count != 1 && count != 3 && count != 5)
     reader.fail(reader.find("keeper"),
-                "expected 3 or 5 keepers, or one to try it out, and found " + std::to_string(count));
+                "expected 3 or 5 keepers (or 1 for a trial), found " + std::to_string(count));
 }
 
 void readTasks(Reader& reader, const std::string& file, Settings& settings) {
--- a/src/fleet/settings.hpp
+++ b/src/fleet/settings.hpp
@@ -1,6 +1,6 @@
-// The fleet file (TOML): the coordinators, the tasks that have a lease holder, and what a member is. One file
-// serves coordinators and gateways. The names of its keys are mapped to those of the code in settings.cpp
-// alone (docs/operators/fleet.md lists them).
+// The fleet file (TOML): coordinators, tasks with a lease holder, and the settings of a member. Coordinators
+// and gateways read the same file. Only settings.cpp maps the file's keys, listed in docs/operators/fleet.md,
+// to the names used in the code.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -14,42 +14,43 @@
 
 namespace cairnjunction::fleet {
 
-// With file, line, what was found and what was expected.
+// Its text has the file, the line, what was found and what was expected.
 using BadSettings = toml::BadFile;
 
 struct CoordinatorAddress {
-  int number = 0;                          // from 1; one coordinator has it for good
+  int number = 0;                          // from 1; permanently assigned to one coordinator
   boost::asio::ip::tcp::endpoint address;  // for members, and for the handshake between coordinators
-  std::string raft;                        // for the replicated log; IPv4 address:port
+  std::string raft;                        // address for the replicated log, as IPv4 address:port
 };
 
 struct Settings {
-  std::string fleet;                                  // name; 1 to lease::kNameMost bytes
-  std::uint32_t members = 1;                          // expected; a member's count until it has joined
+  std::string fleet;          // the fleet's name, 1 to lease::kNameMost bytes
+  std::uint32_t members = 1;  // expected number of members; a member uses it until it has joined
   std::chrono::milliseconds heartbeatInterval{1000};  // between a member's heartbeats
-  // A member that has had no answer from a leader for this long is isolated. At least three heartbeats.
+  // A member without a response from a leader for this long is isolated. At least three heartbeat intervals.
   std::chrono::milliseconds isolatedAfter{3000};
-  // A new leader waits so long for members to join before it grants.
+  // How long a new leader waits for members to join before it grants leases.
   std::chrono::milliseconds leaderSettleTime{1000};
-  // Coordinators that don't hear from the leader for so long, or up to twice that, elect another.
+  // A coordinator that has no contact with the leader for this long, or up to twice as long, starts an
+  // election.
   std::chrono::milliseconds electionTimeout{1000};
-  std::vector<CoordinatorAddress> coordinators;  // 1, 3 or 5, with different numbers and addresses
-  std::vector<lease::TaskSpec> tasks;            // with different names
+  std::vector<CoordinatorAddress> coordinators;  // 1, 3 or 5, with unique numbers and addresses
+  std::vector<lease::TaskSpec> tasks;            // with unique names
 
-  // Of this member, by the section for it.
+  // Settings of the member, from the file's section [member].
   std::string zone;      // may be empty
-  bool eligible = true;  // to be granted leases
-  std::string disk;      // folder for its fencing marks; empty: they are not stored
-  std::string log;       // file for its event log; empty: standard error
+  bool eligible = true;  // whether it may be granted leases
+  std::string disk;      // folder for its fencing marks; if empty they are not stored
+  std::string log;       // file for its event log; if empty, standard error
 
-  // Null if there is none.
+  // These return null if there is none of this number or name.
   const CoordinatorAddress* coordinator(int number) const;
   const lease::TaskSpec* taskSpec(const std::string& task) const;
 };
 
-// Throws BadSettings.
+// Reads the file at `path`. Throws BadSettings if it can't be read or is invalid.
 Settings readSettings(const std::string& path);
-// `name` stands for the file in errors.
+// Parses the file's text; `name` is the file's name in errors. Throws BadSettings.
 Settings parseSettings(const std::string& text, const std::string& name);
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/voter_handshake.cpp
+++ b/src/fleet/voter_handshake.cpp
@@ -32,7 +32,7 @@
        },
        lifetime_.guard([this, peer](const Message& message) { onMessage(peer, message); }),
        lifetime_.guard([this, peer](LinkEnd, const std::string&) {
-         if (!agreed_.contains(peer)) scheduleRetry(peer);
+         if (!acceptedBy_.contains(peer)) scheduleRetry(peer);
        })});
 }
 
@@ -54,19 +54,19 @@
 void VoterHandshake::onResponse(int peer, const VoterHandshakeResponse& response) {
   std::string reason;
   try {
-    reason = rejectionOf(peer, response);
-  } catch (const consensus::LogError& error) {  // the peer's mark can't be kept now: it is asked again
+    reason = rejectionReason(peer, response);
+  } catch (const consensus::LogError& error) {  // the peer's mark can't be stored now: retried later
     return log_.write(Event::handshakeRejected, {{"by", number_}, {"why", error.what()}});
   }
   if (reason.empty()) {
-    agreed_.insert(peer);
+    acceptedBy_.insert(peer);
     return reportIfMajority();
   }
   log_.write(Event::handshakeRejected, {{"by", peer}, {"why", reason}});
-  report({Result::Outcome::rejected, reason});
+  reportResult({Result::Outcome::rejected, reason});
 }
 
-std::string VoterHandshake::rejectionOf(int peer, const VoterHandshakeResponse& response) {
+std::string VoterHandshake::rejectionReason(int peer, const VoterHandshakeResponse& response) {
   if (!response.rejection.empty()) return response.rejection;
   if (response.number != peer)
     return "at keeper " + std::to_string(peer) + "'s address is keeper " + std::to_string(response.number);
@@ -74,11 +74,11 @@
 }
 
 void VoterHandshake::reportIfMajority() {
-  const std::size_t agreeing = agreed_.size() + 1;  // with this one
-  if (agreeing > settings_.coordinators.size() / 2) report({Result::Outcome::admitted, {}});
+  const std::size_t agreeing = acceptedBy_.size() + 1;  // including this one
+  if (agreeing > settings_.coordinators.size() / 2) reportResult({Result::Outcome::admitted, {}});
 }
 
-void VoterHandshake::report(const Result& result) {
+void VoterHandshake::reportResult(const Result& result) {
   if (onResult_) std::exchange(onResult_, nullptr)(result);
 }
 
--- a/src/fleet/voter_handshake.hpp
+++ b/src/fleet/voter_handshake.hpp
@@ -1,6 +1,6 @@
-// Before a coordinator votes: it tells the other coordinators who it is by its disk, and waits for their
-// answers. A voter that lost its disk, or runs on an older copy of it, may have forgotten what it voted for;
-// the others remember each disk, and reject it.
+// The handshake of a coordinator before it votes: it sends the identity of its disk to the other coordinators
+// and waits for their responses. A voter that lost its disk, or runs on an older copy of it, may have
+// forgotten its votes; the others remember each voter's disk and reject it then.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,19 +22,20 @@
 
 class VoterHandshake {
  public:
-  // Between two tries with one coordinator.
+  // Delay between two attempts with the same coordinator.
   static constexpr std::chrono::milliseconds kRetryDelay{200};
 
   struct Result {
     enum class Outcome : std::uint8_t { admitted, rejected };
     Outcome outcome = Outcome::admitted;
-    std::string reason;  // of a rejection
+    std::string reason;  // why it was rejected; empty if admitted
   };
 
-  // `onResult` is called once, perhaps before this returns: `admitted` as soon as a majority has agreed, this
-  // coordinator among them, or `rejected` as soon as one of the others has rejected this one, or was rejected
-  // by it. After it the handshake goes on until each of the others has answered, so that each can recognise
-  // an older copy of this disk later.
+  // Starts the handshake. `number` is this coordinator's number. `onResult` is called once, possibly before
+  // the constructor returns: with `admitted` as soon as a majority, counting this coordinator, has accepted,
+  // or with `rejected` as soon as a peer's response rejects this coordinator or this one rejects the peer.
+  // The handshake then continues until every peer has accepted, so that each can recognise an older copy of
+  // this disk later. A peer that does not respond, or sends JoinRejected, is asked again after kRetryDelay.
   VoterHandshake(boost::asio::io_context& io, Settings settings, int number,
                  consensus::VoterIdentity& identity, EventLog& log,
                  std::function<void(const Result&)> onResult);
@@ -47,21 +48,22 @@
   void scheduleRetry(int peer);
   void onMessage(int peer, const Message& message);
   void onResponse(int peer, const VoterHandshakeResponse& response);
-  // Why the peer's answer, or the peer itself, makes this handshake fail; empty: it agrees.
-  std::string rejectionOf(int peer, const VoterHandshakeResponse& response);
+  // Why the handshake with the peer fails: the peer rejects this coordinator, or this one rejects the peer.
+  // Empty if both accept. Throws consensus::LogError if the peer's mark can't be stored.
+  std::string rejectionReason(int peer, const VoterHandshakeResponse& response);
   void reportIfMajority();
-  void report(const Result& result);
+  void reportResult(const Result& result);
 
   boost::asio::io_context& io_;
   const Settings settings_;
   const int number_;  // of this coordinator
   consensus::VoterIdentity& identity_;
   EventLog& log_;
-  std::function<void(const Result&)> onResult_;  // empty once it was called
-  // By the number of the other coordinator.
-  std::map<int, std::shared_ptr<Link>> links_;  // the last one; may have ended
+  std::function<void(const Result&)> onResult_;  // empty after it was called
+  // All by the peer's number:
+  std::map<int, std::shared_ptr<Link>> links_;  // the latest link to the peer; may have ended
   std::map<int, std::unique_ptr<boost::asio::steady_timer>> retryTimers_;
-  std::set<int> agreed_;
+  std::set<int> acceptedBy_;
   CallbackGuard lifetime_;
 };
 
--- a/tests/fleet/admin_socket_test.cpp
+++ b/tests/fleet/admin_socket_test.cpp
@@ -1,4 +1,4 @@
-// The operators' socket, asked from another thread as by another process.
+// Tests of the admin socket. Queries run on another thread, as they would in another process.
 #include "fleet/admin_socket.hpp"
 
 #include <sys/stat.h>
@@ -20,7 +20,7 @@
                               return {{"got", request}};
                             }};
 
-  // The answer, or the error's text.
+  // Returns the response, or the text of the exception.
   json query(const json& request) {
     auto answer = std::async(std::launch::async, [&]() -> json {
       try {
@@ -34,26 +34,27 @@
   }
 };
 
-TEST_F(AdminSocketTest, ARequestIsAnsweredAndAnErrorIsThrown) {
+TEST_F(AdminSocketTest, ReturnsTheResponseAndThrowsItsError) {
   EXPECT_EQ(query({{"ask", "status"}}), (json{{"got", {{"ask", "status"}}}}));
   EXPECT_EQ(query({{"fail", "not here"}}), "not here");
   EXPECT_EQ(query(json::array({1})), "expected a JSON object");
 }
 
-TEST_F(AdminSocketTest, OnlyItsUserMayConnect) {
+TEST_F(AdminSocketTest, SocketFileIsAccessibleOnlyToItsUser) {
   struct stat status {};
   ASSERT_EQ(::stat(path.c_str(), &status), 0);
   EXPECT_EQ(status.st_mode & 0777, 0600u);
 }
 
-// A client sends a request without an end. It is disconnected at the bound, with no answer.
-TEST_F(AdminSocketTest, ARequestThatIsTooLongIsNotAnswered) {
+// A client that sends more than the maximum request size without a newline is disconnected without a
+// response.
+TEST_F(AdminSocketTest, DisconnectsAClientWhoseRequestIsTooLong) {
   const json answer = query({{"ask", std::string(2 * fleet::AdminSocket::kMaxRequestBytes, 'x')}});
   ASSERT_TRUE(answer.is_string());
   EXPECT_NE(answer.get<std::string>().find("no answer"), std::string::npos) << answer;
 }
 
-TEST(AdminSocket, AMissingSocketIsNamed) {
+TEST(AdminSocket, ErrorNamesAMissingSocket) {
   try {
     fleet::queryAdminSocket("/nowhere/control.sock", json::object());
     ADD_FAILURE() << "it was answered";
--- a/tests/fleet/cli.sh
+++ b/tests/fleet/cli.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# The commands for a fleet, with one coordinator. $1: the program; $2: a configuration of a gateway.
+# Tests the program's fleet subcommands with one coordinator. $1: the program; $2: a gateway's configuration
+# file.
 set -eu
 program=$1 config=$2
 dir=$(mktemp -d)
@@ -32,7 +33,7 @@
 [ ! -s "$dir/err" ]
 if "$program" fleet transfer list --socket "$dir/k1/control.sock" 2>"$dir/err"; then exit 1; fi
 grep -q 'list/0 has no owner' "$dir/err"
-# Former names work, and say what the name is now.
+# Former subcommand names still work and print the current name.
 "$program" fleet duties --socket "$dir/k1/control.sock" 2>"$dir/err" | grep -q '^duty'
 grep -qx 'cairnjunction fleet duties is now cairnjunction fleet leases' "$dir/err"
 if "$program" fleet hand-over list --socket "$dir/k1/control.sock" 2>"$dir/err"; then exit 1; fi
@@ -45,7 +46,8 @@
 grep -q none.sock "$dir/err"
 kill "$coordinator"; wait "$coordinator"; coordinator=
 [ ! -s "$dir/k1.err" ]
-# Its log is bound to its number and its fleet. By the former names of the subcommand and of the program, too.
+# A coordinator's log belongs to its number and its fleet. The former names of the subcommand and of the program
+# are used here, to test them as well.
 set +e
 "$program" fleet keeper "$dir/fleet.toml" --number 2 --dir "$dir/k1" 2>"$dir/err"; got=$?
 set -e
--- a/tests/fleet/command_receiver_test.cpp
+++ b/tests/fleet/command_receiver_test.cpp
@@ -1,4 +1,4 @@
-// Commands on their way through the fencing gate and the disk.
+// Tests of receiving commands: fencing, durable marks, and failures of the disk.
 #include "fleet/command_receiver.hpp"
 
 #include "net_peers.hpp"
@@ -35,44 +35,45 @@
   }
 };
 
-// A former lease holder wakes up and sends commands again and again. They have no effect, and are logged
-// once.
-TEST_F(CommandReceiverTest, OlderCommandsHaveNoEffect) {
+// A former lease holder resumes and repeats its commands. They are not applied, and the rejection is logged
+// once per epoch.
+TEST_F(CommandReceiverTest, RejectsCommandsOfAnOlderEpoch) {
   const auto receiver = this->receiver("");
   receiver->receive(command(5, 1));
-  EXPECT_TRUE(applied.empty()) << "the leader has not said yet how far the fleet has come";
-  receiver->learn({{list, {4, 0, {}}}});
+  EXPECT_TRUE(applied.empty()) << "no marks of the leader or the disk yet";
+  receiver->raiseMarks({{list, {4, 0, {}}}});
   receiver->receive(command(5, 2));
   for (int i = 0; i < 10; ++i) receiver->receive(command(4, 9));
   receiver->receive(command(5, 2));
   EXPECT_EQ(applied, std::vector<std::string>{"5.2"});
-  EXPECT_EQ(logged(fleet::Event::commandRejected), 2u) << "one of each epoch";
+  EXPECT_EQ(logged(fleet::Event::commandRejected), 2u) << "once per epoch";
   EXPECT_EQ(receiver->gate().rejectedCount(), 12u);
 }
 
-// The process restarts after its mark was written. The last command is accepted once more, since its effect
-// ended with the process, and none before it.
-TEST_F(CommandReceiverTest, AfterARestartOnlyTheLastCommandIsAcceptedAgain) {
+// The process restarts after its mark was written. The last command is accepted once more, because its effect
+// was lost with the process; earlier ones are rejected.
+TEST_F(CommandReceiverTest, AcceptsOnlyTheLastCommandAgainAfterARestart) {
   auto receiver = this->receiver(folder.path());
-  EXPECT_EQ(receiver->storedMarks(), 0u);
-  receiver->learn({});
+  EXPECT_EQ(receiver->storedMarkCount(), 0u);
+  receiver->raiseMarks({});
   receiver->receive(command(5, 1));
   receiver->receive(command(5, 2));
-  EXPECT_TRUE(applied.empty()) << "the disk comes first";
+  EXPECT_TRUE(applied.empty()) << "not applied before the mark is durable";
   ASSERT_TRUE(until([&] { return applied.size() == 2; }));
   receiver = this->receiver(folder.path());
-  EXPECT_EQ(receiver->storedMarks(), 1u);
+  EXPECT_EQ(receiver->storedMarkCount(), 1u);
   receiver->receive(command(5, 1));
   receiver->receive(command(5, 2));
   ASSERT_TRUE(until([&] { return applied.size() == 3; }));
   EXPECT_EQ(applied.back(), "5.2");
 }
 
-// The disk fails. The command has no effect and is accepted when it is sent again, once the disk is back.
-TEST_F(CommandReceiverTest, WithoutTheDiskThereIsNoEffect) {
+// Writing the mark fails. The command is not applied, and it is accepted when it is sent again after the disk
+// has recovered.
+TEST_F(CommandReceiverTest, DoesNotApplyACommandWhoseMarkIsNotDurable) {
   const std::string disk = folder.file("disk");
   const auto receiver = this->receiver(disk);
-  receiver->learn({});
+  receiver->raiseMarks({});
   receiver->receive(command(5, 1));
   receiver->receive(command(5, 2));
   ASSERT_TRUE(until([&] { return diskFailures == 2; }));
--- a/tests/fleet/connection_table_test.cpp
+++ b/tests/fleet/connection_table_test.cpp
@@ -1,4 +1,4 @@
-// Who is connected.
+// Tests of the coordinator's table of connections.
 #include "fleet/connection_table.hpp"
 
 #include "coordinator_parts.hpp"
@@ -8,7 +8,7 @@
 
 using ConnectionTableTest = CoordinatorPartsTest;
 
-TEST_F(ConnectionTableTest, MembersAreFoundOnceTheyHaveJoined) {
+TEST_F(ConnectionTableTest, FindsMembersThatHaveJoined) {
   Peer& first = connect("a");
   EXPECT_EQ(connections.findJoined({"a", 1}), first.connection);
   EXPECT_EQ(connections.findJoined({"a", 2}), nullptr) << "another process of this name";
@@ -19,8 +19,9 @@
   EXPECT_EQ(connections.memberCount(), 1u);
 }
 
-// A member dials again before its old link has ended here. The old link's end does not take the new one out.
-TEST_F(ConnectionTableTest, TheEndOfAReplacedLinkChangesNothing) {
+// A member dials again before the end of its old link is noticed. The end of the old link must not remove the
+// new connection.
+TEST_F(ConnectionTableTest, EndOfAReplacedLinkKeepsTheNewConnection) {
   Peer& first = connect("a");
   const fleet::PeerConnectionPtr before = first.connection;
   const auto again = std::make_shared<fleet::PeerConnection>(*before);
@@ -33,13 +34,13 @@
   EXPECT_EQ(connections.findMember("a"), nullptr);
 }
 
-TEST_F(ConnectionTableTest, AllAreSentALastMessage) {
+TEST_F(ConnectionTableTest, FinishAllSendsALastMessageToEveryMember) {
   Peer& first = connect("a");
   Peer& second = connect("b");
   connections.finishAll(fleet::NotLeader{2}, fleet::LinkEnd::notLeader);
   ASSERT_TRUE(until([&] { return first.end && second.end; }));
-  EXPECT_EQ(first.all<fleet::NotLeader>().at(0).leader, 2);
-  EXPECT_EQ(second.all<fleet::NotLeader>().size(), 1u);
+  EXPECT_EQ(first.receivedOf<fleet::NotLeader>().at(0).leader, 2);
+  EXPECT_EQ(second.receivedOf<fleet::NotLeader>().size(), 1u);
   EXPECT_EQ(connections.memberCount(), 0u);
 }
 
--- a/tests/fleet/coordinator_parts.hpp
+++ b/tests/fleet/coordinator_parts.hpp
@@ -1,5 +1,5 @@
-// For tests of a coordinator's parts: a log that commits at once, and members that are connected by links on
-// loopback.
+// Fixture for tests of a coordinator's components: a scripted replicated log, and members connected through
+// links on loopback.
 #pragma once
 
 #include <functional>
@@ -18,46 +18,46 @@
 
 namespace cairnjunction::testing {
 
-// Commits what is proposed at once, or when the test says so.
+// A replicated log that commits proposals immediately, or when the test calls commitDeferred().
 class ScriptedLog final : public consensus::ReplicatedLog {
  public:
   explicit ScriptedLog(consensus::StateMachine& machine) : machine_(machine) {}
 
   void propose(std::string entry, Done done) override {
-    if (!leads) return done(false);
-    if (holds)
-      return held_.push_back(
+    if (!leading) return done(false);
+    if (deferCommits)
+      return deferred_.push_back(
           [this, entry = std::move(entry), done = std::move(done)] { commit(entry, done); });
     commit(entry, done);
   }
-  bool isLeader() const override { return leads; }
-  int leader() const override { return leads ? 1 : 2; }
+  bool isLeader() const override { return leading; }
+  int leader() const override { return leading ? 1 : 2; }
   void onLeadershipChange(std::function<void()> changed) override { changed_ = std::move(changed); }
   std::optional<std::string> pauseReason() const override { return pause; }
   void onPauseChange(std::function<void()> changed) override { pauseChanged_ = std::move(changed); }
   void stop(std::function<void()> done) override { done(); }
 
-  void setLeads(bool now) {
-    leads = now;
+  void setLeader(bool isNow) {
+    leading = isNow;
     if (changed_) changed_();
   }
   void setPause(std::optional<std::string> reason) {
     pause = std::move(reason);
     if (pauseChanged_) pauseChanged_();
   }
-  // Commits what waits.
-  void commitHeld() {
-    for (const auto& entry : std::exchange(held_, {})) entry();
+  // Commits the deferred proposals.
+  void commitDeferred() {
+    for (const auto& entry : std::exchange(deferred_, {})) entry();
   }
 
-  bool leads = true;
-  bool holds = false;  // entries wait for commitHeld()
-  int proposals = 0;
+  bool leading = true;
+  bool deferCommits = false;  // proposals wait for commitDeferred()
+  int committedCount = 0;
   std::optional<std::string> pause;
 
  private:
   void commit(const std::string& entry, const Done& done) {
-    ++proposals;
+    ++committedCount;
     machine_.apply(entry);
     done(true);
   }
@@ -65,7 +65,7 @@
   consensus::StateMachine& machine_;
   std::function<void()> changed_;
   std::function<void()> pauseChanged_;
-  std::vector<std::function<void()>> held_;
+  std::vector<std::function<void()>> deferred_;
 };
 
 class CoordinatorPartsTest : public LoopTest {
@@ -77,7 +77,8 @@
     std::optional<fleet::LinkEnd> end;
 
     template <class T>
-    std::vector<T> all() const {
+    // The received messages of type T, in order.
+    std::vector<T> receivedOf() const {
       std::vector<T> found;
       for (const fleet::Message& message : received)
         if (const T* typed = std::get_if<T>(&message)) found.push_back(*typed);
@@ -98,7 +99,7 @@
 
   void SetUp() override {
     log.attach(replicated);
-    log.beginLeading();
+    log.onLeadershipAcquired();
   }
   void TearDown() override {
     connections.abandonAll();
@@ -120,7 +121,7 @@
     settings.tasks = {listTask, probeTask};
     return settings;
   }
-  // A link between a new entry of the table and a member, which has joined and sent a heartbeat.
+  // Adds a joined member that has sent a heartbeat, with a link between both sides.
   Peer& connect(const std::string& name) {
     Peer& peer = peers[name];
     peer.connection = std::make_shared<fleet::PeerConnection>();
@@ -139,12 +140,13 @@
         io, acceptor.local_endpoint(), {},
         {nullptr, [&peer](const fleet::Message& message) { peer.received.push_back(message); },
          [&peer](fleet::LinkEnd end, const std::string&) { peer.end = end; }});
-    EXPECT_TRUE(until([&] { return peer.connection->link && peer.link->isUp(); }));
+    EXPECT_TRUE(until([&] { return peer.connection->link && peer.link->isConnected(); }));
     connections.add(peer.connection);
     connections.addMember(peer.connection);
     log.propose(lease::MemberJoined{peer.connection->member, ""}, [](const lease::ApplyResult&) {});
     return peer;
   }
+  // Name of the current lease holder; empty if there is none.
   std::string holder(const lease::LeaseKey& key) const {
     const lease::LeaseRecord* record = log.table().find(key);
     return record && record->heldAt(log.now()) ? record->holder.name : "";
--- a/tests/fleet/coordinator_status_test.cpp
+++ b/tests/fleet/coordinator_status_test.cpp
@@ -1,4 +1,4 @@
-// What operators are shown: the fields that the admin socket has always had.
+// Tests of the status and lease JSON for operators. Its field names must not change.
 #include "fleet/coordinator_status.hpp"
 
 #include "coordinator_parts.hpp"
@@ -8,7 +8,7 @@
 
 using CoordinatorStatusTest = CoordinatorPartsTest;
 
-TEST_F(CoordinatorStatusTest, FieldsHaveTheirNames) {
+TEST_F(CoordinatorStatusTest, FieldNamesAreStable) {
   Peer& first = connect("a");
   log.propose(lease::LeaseGranted{list, first.connection->member, std::chrono::seconds(60)},
               [](const lease::ApplyResult&) {});
@@ -33,8 +33,8 @@
   EXPECT_EQ(leases[0], (json{{"duty", "list"}, {"shard", 0}, {"owner", "a"}, {"epoch", 1}}));
 }
 
-// Guards against a coordinator with a full disk that looks well to operators.
-TEST_F(CoordinatorStatusTest, APauseIsShownWithItsReasonAndCounted) {
+// Guards against a coordinator with a full disk whose status shows no problem.
+TEST_F(CoordinatorStatusTest, ShowsTheReasonAndCountOfVotingPauses) {
   replicated.setPause("raft.db: database or disk is full");
   const json paused = fleet::statusJson({"yard", 1, 7, 2, 1}, log, connections);
   EXPECT_EQ(paused["paused"], "raft.db: database or disk is full");
@@ -45,7 +45,7 @@
   EXPECT_EQ(resumed["pauses"], 1);
 }
 
-TEST_F(CoordinatorStatusTest, ALeaseThatNobodyHoldsHasItsReason) {
+TEST_F(CoordinatorStatusTest, ShowsWhyALeaseHasNoHolder) {
   Peer& first = connect("a");
   const lease::Member member = first.connection->member;
   log.propose(lease::LeaseGranted{list, member, std::chrono::seconds(60)}, [](const lease::ApplyResult&) {});
--- a/tests/fleet/coordinators_test.cpp
+++ b/tests/fleet/coordinators_test.cpp
@@ -1,5 +1,5 @@
-// Coordinators as processes, killed, stopped and given wrong disks; members of the test's own. The path of
-// the coordinator's program is the first argument.
+// Tests with coordinators as processes that are killed, stopped or started with wrong disks, and members
+// within the test's process. The first argument is the path of the coordinator's program.
 #include <fcntl.h>
 #include <sys/resource.h>
 
@@ -14,7 +14,7 @@
 
 namespace files = std::filesystem;
 
-TEST_F(FleetTest, OneHolderWhoseCommandsReachAllAndWhoIsSucceededWhenItEnds) {
+TEST_F(FleetTest, OneHolderSendsCommandsToAllMembersAndIsSucceededWhenItEnds) {
   startCoordinators();
   for (const char* name : {"a", "b", "c"}) join(name);
   ASSERT_TRUE(until([&] { return !holder(list).empty(); }));
@@ -23,32 +23,33 @@
       [&] { return members["a"]->hasJoined() && members["b"]->hasJoined() && members["c"]->hasJoined(); }));
   EXPECT_TRUE(members[first]->sendCommand(list, "hosts", true));
   for (const auto& [name, member] : members) {
-    ASSERT_TRUE(until([&, n = name] { return seen[n].commands.size() == 1; })) << name;
+    ASSERT_TRUE(until([&, n = name] { return observed[n].commands.size() == 1; })) << name;
     if (name != first) EXPECT_FALSE(member->sendCommand(list, "not mine", true));
   }
-  // One that joins later is sent the last command; one that stops releases its lease, and it need not expire.
+  // A member that joins later receives the last command. A member that leaves releases its lease, so the next
+  // grant need not wait for its expiry.
   join("d");
-  ASSERT_TRUE(until([&] { return seen["d"].commands.size() == 1; }));
+  ASSERT_TRUE(until([&] { return observed["d"].commands.size() == 1; }));
   bool left = false;
-  const lease::BootTime asked = fleet::bootTime();
+  const lease::BootTime leaveStart = fleet::bootTime();
   members[first]->leave([&] { left = true; });
   EXPECT_FALSE(members[first]->sendCommand(list, "late", true));
   ASSERT_TRUE(until([&] { return left; }));
   members.erase(first);
   ASSERT_TRUE(until([&] { return !holder(list).empty(); }));
-  RecordProperty("transfer_ms", std::to_string((fleet::bootTime() - asked).count()));
+  RecordProperty("transfer_ms", std::to_string((fleet::bootTime() - leaveStart).count()));
   const std::string second = holder(list);
   EXPECT_GT(members[second]->fencingGate().marks().at(list).epoch + 1, 1u);
-  // One that vanishes is succeeded when its lease has expired, under another epoch.
+  // A member that disappears is succeeded after its lease has expired, under another epoch.
   members.erase(second);
   ASSERT_TRUE(until([&] { return !holder(list).empty(); }));
   EXPECT_TRUE(members[holder(list)]->sendCommand(list, "third", true));
-  EXPECT_GE(seen[holder(list)].commands.back().token.epoch, 3u);
+  EXPECT_GE(observed[holder(list)].commands.back().token.epoch, 3u);
 }
 
-// A member with a disk starts again. Of the last command's effect it has nothing left, so it accepts that one
-// once more, and no older one.
-TEST_F(FleetTest, AfterARestartTheLastCommandIsAcceptedOnceMoreAndNoOlderOne) {
+// A member that stores its fencing marks restarts. The effect of the last command is lost, so that command is
+// accepted once more; older ones are rejected.
+TEST_F(FleetTest, RestartedMemberAcceptsOnlyTheLastCommandAgain) {
   startCoordinators();
   join("a");
   ASSERT_TRUE(until([&] { return holder(list) == "a"; }));
@@ -56,28 +57,28 @@
   join("b", disk);
   ASSERT_TRUE(until([&] { return members["b"]->hasJoined(); }));
   for (const char* body : {"first", "second"}) EXPECT_TRUE(members["a"]->sendCommand(list, body, true));
-  ASSERT_TRUE(until([&] { return seen["b"].commands.size() == 2; }));
+  ASSERT_TRUE(until([&] { return observed["b"].commands.size() == 2; }));
   members.erase("b");
   join("b", disk);
-  ASSERT_TRUE(until([&] { return seen["b"].commands.size() == 1; }));
-  EXPECT_EQ(seen["b"].commands[0].body, "second");
+  ASSERT_TRUE(until([&] { return observed["b"].commands.size() == 1; }));
+  EXPECT_EQ(observed["b"].commands[0].body, "second");
 }
 
-// The leader is killed, again and again. Whoever holds a lease keeps it or is succeeded; epochs only grow,
-// and commands of each holder are accepted by all.
-TEST_F(FleetTest, LeadersKilledInTurnLoseNothing) {
+// The leader is killed repeatedly. After each failover the lease has a holder, epochs never decrease, and the
+// holder's commands are accepted.
+TEST_F(FleetTest, LeasesAndCommandsSurviveRepeatedLeaderFailures) {
   startCoordinators();
   for (const char* name : {"a", "b", "c"}) join(name);
   lease::Epoch last = 0;
   for (int round = 0; round < 4; ++round) {
-    std::size_t had = seen["a"].commands.size();
+    std::size_t countBefore = observed["a"].commands.size();
     ASSERT_TRUE(until([&] {
-      const std::string who = holder(list);
-      if (!who.empty()) members[who]->sendCommand(list, std::to_string(round), true);
-      return seen["a"].commands.size() > had;
+      const std::string holderName = holder(list);
+      if (!holderName.empty()) members[holderName]->sendCommand(list, std::to_string(round), true);
+      return observed["a"].commands.size() > countBefore;
     }));
-    EXPECT_GE(seen["a"].commands.back().token.epoch, last);
-    last = seen["a"].commands.back().token.epoch;
+    EXPECT_GE(observed["a"].commands.back().token.epoch, last);
+    last = observed["a"].commands.back().token.epoch;
     ASSERT_TRUE(until([&] { return leader() != 0; }));
     const int number = leader();
     coordinators[number]->end(SIGKILL);
@@ -86,56 +87,58 @@
   }
 }
 
-// Two of three coordinators are killed. Leases expire by their holders' own clocks, members know that they
-// are isolated, and all is well again once one of the two is back.
-TEST_F(FleetTest, WithoutAMajorityNothingIsGrantedAndMembersKnowThatTheyAreIsolated) {
+// Two of three coordinators are killed. Leases expire by their holders' own clocks and members detect that
+// they are isolated; leases are granted again once a majority is back.
+TEST_F(FleetTest, WithoutAMajorityLeasesExpireAndMembersAreIsolated) {
   startCoordinators();
   for (const char* name : {"a", "b"}) join(name);
   ASSERT_TRUE(until([&] { return !holder(list).empty(); }));
   for (int number : {1, 2}) coordinators[number]->end(SIGKILL);
   ASSERT_TRUE(until([&] { return members["a"]->isIsolated() && members["b"]->isIsolated(); }));
-  EXPECT_EQ(holder(list), "") << "a lease ends by the holder's own clock";
+  EXPECT_EQ(holder(list), "") << "a lease expires by the holder's own clock";
   startCoordinator(1);
   ASSERT_TRUE(until([&] { return !holder(list).empty() && !members["a"]->isIsolated(); }));
 }
 
-TEST_F(FleetTest, LeasesAreSpreadOverWhoeverJoins) {
+TEST_F(FleetTest, LeasesAreRebalancedToMembersThatJoin) {
   startCoordinators();
   join("a");
-  ASSERT_TRUE(until([&] { return seen["a"].leases.size() == 7; }));
+  ASSERT_TRUE(until([&] { return observed["a"].leases.size() == 7; }));
   join("b");
   join("c");
   ASSERT_TRUE(until([&] {
-    return seen["a"].leases.size() + seen["b"].leases.size() + seen["c"].leases.size() == 7 &&
-           seen["b"].leases.size() >= 2 && seen["c"].leases.size() >= 2;
-  })) << seen["a"].leases.size()
-      << seen["b"].leases.size() << seen["c"].leases.size();
+    return observed["a"].leases.size() + observed["b"].leases.size() + observed["c"].leases.size() == 7 &&
+           observed["b"].leases.size() >= 2 && observed["c"].leases.size() >= 2;
+  })) << observed["a"].leases.size()
+      << observed["b"].leases.size() << observed["c"].leases.size();
 }
 
-// A member is granted a lease and dies, ten times over. In the end all leases are with the one that lives.
-TEST_F(FleetTest, AMemberThatDiesTenTimesWithALeaseIsBackedOff) {
+// A member dies ten times, the first three times when leases were released and could be granted to it. In the
+// end the surviving member holds all leases.
+TEST_F(FleetTest, ASurvivingMemberGetsAllLeasesOfARepeatedlyDyingOne) {
   startCoordinators();
   join("steady");
-  ASSERT_TRUE(until([&] { return seen["steady"].leases.count(list) == 1; }));
+  ASSERT_TRUE(until([&] { return observed["steady"].leases.count(list) == 1; }));
   for (int i = 0; i < 10; ++i) {
     join("dies");
     ASSERT_TRUE(until([&] { return members["dies"]->hasJoined(); }));
-    if (i < 3) {  // it is granted one when others release it
-      for (const lease::LeaseKey& key : std::set<lease::LeaseKey>(seen["steady"].leases))
+    if (i < 3) {  // leases are released so that it can be granted one
+      for (const lease::LeaseKey& key : std::set<lease::LeaseKey>(observed["steady"].leases))
         members["steady"]->release(key, false);
-      ASSERT_TRUE(until([&] { return seen["steady"].leases.size() + seen["dies"].leases.size() >= 5; }));
+      ASSERT_TRUE(
+          until([&] { return observed["steady"].leases.size() + observed["dies"].leases.size() >= 5; }));
     }
     members.erase("dies");
   }
-  ASSERT_TRUE(until([&] { return seen["steady"].leases.size() == 7; })) << "all of it, in the end";
+  ASSERT_TRUE(until([&] { return observed["steady"].leases.size() == 7; }))
+      << "the surviving member holds all leases in the end";
 }
 
 // --- Wrong disks
-// --------------------------------------------------------------------------------------------
 
-// A coordinator starts with an older copy of its disk, and then with an empty one. The others remember its
-// disk: it ends with the reason and does not vote, and they go on.
-TEST_F(FleetTest, ACoordinatorThatLostItsDiskOrHasAnOlderOneIsRejectedByName) {
+// A coordinator starts with an older copy of its disk, and then with an empty disk. The other coordinators
+// remember its disk and reject it: it exits with the reason and does not vote, and the others continue.
+TEST_F(FleetTest, RejectsACoordinatorWithALostOrOlderDisk) {
   startCoordinators();
   ASSERT_TRUE(until([&] { return leader() != 0; }));
   ASSERT_EQ(coordinators[3]->end(SIGTERM), 0);
@@ -149,7 +152,8 @@
   ASSERT_TRUE(
       until([&] { return text(folder(1) + "/identity.toml").find("starts = 2") != std::string::npos; }));
   coordinators[3]->end(SIGKILL);
-  // The copy from before its second start: it would be start 2 once more, or 1 with one start taken off.
+  // Restore the copy from before its second start, and lower its start count by one: the next start would
+  // otherwise have the same count as the second.
   files::remove_all(folder(3));
   files::copy(dir + "older", folder(3), files::copy_options::recursive);
   std::string identity = text(folder(3) + "/identity.toml");
@@ -163,18 +167,18 @@
   startCoordinator(3);
   EXPECT_EQ(coordinators[3]->exitCode(), 3);
   EXPECT_NE(text(folder(3) + ".err").find("another disk than it had"), std::string::npos);
-  // The others go on.
+  // The others continue.
   join("a");
   ASSERT_TRUE(until([&] { return !holder(list).empty(); }));
 }
 
-// Guards against a coordinator that ends because another one starts while its own disk is full: the mark of
-// the other can't be kept. That one is admitted by the third, and by this one once it can write again.
-TEST_F(FleetTest, ACoordinatorThatCannotWriteGoesOnWhenAnotherOneStarts) {
+// Guards against a coordinator that exits because another one starts while its own disk is full and it can't
+// store the other's mark. The third coordinator admits the other one; this one does after it can write again.
+TEST_F(FleetTest, ACoordinatorThatCannotWriteKeepsRunningWhenAnotherStarts) {
   startCoordinators();
   ASSERT_TRUE(until([&] { return leader() != 0; }));
   const std::string next = folder(1) + "/identity.toml.next";
-  files::create_directory(next);  // in the way of the file that is written first
+  files::create_directory(next);  // blocks the temporary file that is written first
   ASSERT_EQ(coordinators[2]->end(SIGTERM), 0);
   startCoordinator(2);
   const auto logHas = [&](int number, const std::string& what) {
@@ -189,11 +193,11 @@
     EXPECT_EQ(coordinators[number]->end(SIGTERM), 0) << "coordinator " << number;
 }
 
-// Guards against a start on a full disk that harms the folder, or does not say why it ends.
-TEST_F(FleetTest, AStartOnAFullDiskNamesTheFileAndLeavesTheFolderAsItWas) {
+// Guards against a start on a full disk that damages the folder or exits without naming the cause.
+TEST_F(FleetTest, StartOnAFullDiskNamesTheFileAndKeepsTheFolderUnchanged) {
   startCoordinators();
   join("a");
-  ASSERT_TRUE(until([&] { return seen["a"].leases.size() == 7; }));
+  ASSERT_TRUE(until([&] { return observed["a"].leases.size() == 7; }));
   ASSERT_EQ(coordinators[3]->end(SIGTERM), 0);
   const std::string identity = text(folder(3) + "/identity.toml");
   const std::string log = text(folder(3) + "/log/raft.db");
@@ -201,8 +205,8 @@
   ASSERT_EQ(::getrlimit(RLIMIT_FSIZE, &limit), 0);
   const rlimit whole = limit;
   std::signal(SIGXFSZ, SIG_IGN);
-  limit.rlim_cur = 200;                             // less than an identity has, and enough for the error
-  ASSERT_EQ(::setrlimit(RLIMIT_FSIZE, &limit), 0);  // inherited by what is started
+  limit.rlim_cur = 200;  // bytes: too few for the identity file, enough for the error message
+  ASSERT_EQ(::setrlimit(RLIMIT_FSIZE, &limit), 0);  // inherited by the coordinator
   startCoordinator(3);
   ASSERT_EQ(::setrlimit(RLIMIT_FSIZE, &whole), 0);
   EXPECT_EQ(coordinators[3]->exitCode(), 1);
@@ -220,12 +224,12 @@
   EXPECT_EQ(coordinators[3]->end(SIGTERM), 0);
 }
 
-// Every file of the log is damaged in turn, at its beginning and in its middle. The coordinator names it or
-// comes to the state that the others have; it never makes one up.
-TEST_F(FleetTest, ADamagedLogIsNamedAndNotVotedWith) {
+// Each file of the log is damaged in turn, near its beginning and in its middle. The coordinator either exits
+// and names the log, or recovers the state of the others and votes; it must never invent a state.
+TEST_F(FleetTest, ACoordinatorWithADamagedLogNamesItOrRecovers) {
   startCoordinators();
   join("a");
-  ASSERT_TRUE(until([&] { return seen["a"].leases.size() == 7; }));
+  ASSERT_TRUE(until([&] { return observed["a"].leases.size() == 7; }));
   ASSERT_EQ(coordinators[3]->end(SIGTERM), 0);
   int named = 0, files = 0;
   for (const auto& entry : files::directory_iterator(folder(3) + "/log")) {
@@ -261,12 +265,12 @@
   EXPECT_GE(named, 1);
 }
 
-// --- Bad peers
-// ----------------------------------------------------------------------------------------------
+// --- Invalid peers
 
-// A member of another fleet, a second process of one name, a process of another version, and peers that send
-// no frames at all. Each is rejected with the reason or by a timeout, and the others go on.
-TEST_F(FleetTest, WhoDoesNotBelongHereIsRejectedWithTheReasonAndTheOthersGoOn) {
+// A member of another fleet, a second process with the same name, a process of another protocol version, and
+// peers that send no valid frames. Each is rejected with the reason or disconnected, and the others are not
+// affected.
+TEST_F(FleetTest, RejectsInvalidPeersWithoutAffectingOthers) {
   startCoordinators();
   join("a");
   ASSERT_TRUE(until([&] { return !holder(list).empty(); }));
@@ -274,23 +278,23 @@
   ASSERT_TRUE(until([&] {
     return members["foreign"]->lastLinkEnd().find("a member of fleet 'other'") != std::string::npos;
   }));
-  // A second process of one name, while the first is there; and once that has gone.
+  // A second process with the same name is rejected while the first is connected, and admitted afterwards.
   auto first = std::move(members["a"]);
   join("a");
   ASSERT_TRUE(until(
       [&] { return members["a"]->lastLinkEnd().find("in use by another process") != std::string::npos; }));
   first.reset();
   ASSERT_TRUE(until([&] { return members["a"]->hasJoined(); }));
-  // A process of another version, in its own words.
+  // A process of another protocol version.
   tcp::socket other(io);
   other.connect({asio::ip::make_address("127.0.0.1"), ports[static_cast<std::size_t>(leader() - 1)]});
   asio::write(other, asio::buffer(*fleet::encode(fleet::JoinRequest{99, "yard", {"new", 1}, "", true})));
-  std::string answered;
+  std::string response;
   bool closed = false;
-  asio::async_read(other, asio::dynamic_buffer(answered), [&](error_code, std::size_t) { closed = true; });
+  asio::async_read(other, asio::dynamic_buffer(response), [&](error_code, std::size_t) { closed = true; });
   ASSERT_TRUE(until([&] { return closed; }));
-  EXPECT_NE(answered.find("protocol 99, this keeper speaks 1"), std::string::npos) << answered;
-  // Bytes that are no frame, by their length or by what they hold, and messages that a member must not send.
+  EXPECT_NE(response.find("protocol 99, this keeper speaks 1"), std::string::npos) << response;
+  // Bytes that are no frame, by their length or their payload, and messages that a member must not send.
   for (const std::string& bytes :
        {std::string(1000, '\xff'), std::string("GET / HTTP/1.1\r\n\r\n"), std::string(64, '\0'),
         *fleet::encode(fleet::Heartbeat{}), *fleet::encode(fleet::JoinResponse{})}) {
@@ -306,7 +310,7 @@
       });
     };
     read();
-    ASSERT_TRUE(until([&] { return over; })) << "closed, by its name or by silence";
+    ASSERT_TRUE(until([&] { return over; })) << "the connection must be closed";
   }
   EXPECT_TRUE(members["a"]->hasJoined());
 }
--- a/tests/fleet/dial_backoff_test.cpp
+++ b/tests/fleet/dial_backoff_test.cpp
@@ -1,4 +1,4 @@
-// Delays between dials.
+// Tests of the backoff between dials of a coordinator.
 #include "fleet/dial_backoff.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 using fleet::DialBackoff;
 using fleet::LinkEnd;
 
-TEST(DialBackoff, DoublesWithEverySecondFailureUpToItsBound) {
+TEST(DialBackoff, DoublesWithEverySecondFailureUpToTheMaximum) {
   DialBackoff backoff;
   EXPECT_EQ(backoff.onLinkEnd(LinkEnd::connectionRefused, false), DialBackoff::kMinDelay);
   EXPECT_EQ(backoff.onLinkEnd(LinkEnd::connectionRefused, false), 2 * DialBackoff::kMinDelay);
@@ -19,15 +19,15 @@
   EXPECT_EQ(backoff.onLinkEnd(LinkEnd::connectionRefused, false), DialBackoff::kMaxDelay);
 }
 
-TEST(DialBackoff, BeginsAnewAfterALinkThatHadJoined) {
+TEST(DialBackoff, ResetsAfterALinkThatHadJoined) {
   DialBackoff backoff;
   for (int i = 0; i < 10; ++i) backoff.onLinkEnd(LinkEnd::connectionRefused, false);
   EXPECT_EQ(backoff.onLinkEnd(LinkEnd::reset, true), DialBackoff::kRejoinDelay);
   EXPECT_EQ(backoff.onLinkEnd(LinkEnd::connectionRefused, false), DialBackoff::kMinDelay);
 }
 
-// A member that does not belong here is told so at each dial; it does not hurry.
-TEST(DialBackoff, ARejectedMemberWaitsLongest) {
+// A rejected member would be rejected at each dial, so it waits for the maximum delay at once.
+TEST(DialBackoff, UsesTheMaximumDelayAfterARejection) {
   DialBackoff backoff;
   EXPECT_EQ(backoff.onLinkEnd(LinkEnd::rejected, false), DialBackoff::kMaxDelay);
 }
--- a/tests/fleet/event_log_test.cpp
+++ b/tests/fleet/event_log_test.cpp
@@ -1,4 +1,4 @@
-// The structured log.
+// Tests of the structured event log.
 #include "fleet/event_log.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   return lines;
 }
 
-TEST(EventLog, ALineHasItsEventItsWriterAndItsTime) {
+TEST(EventLog, LinesHaveTheEventTheWriterAndTheTime) {
   const TemporaryFolder folder("event_log");
   EventLog member(folder.file("member"), EventLog::Role::member, "n0");
   member.writeCommand(Event::commandSent, {{"list", 2}, 7, 41, {"n0", 9}}, {{"more", 1}});
@@ -45,16 +45,16 @@
   EXPECT_EQ(linesOf(folder.textOf("coordinator")).at(0)["keeper"], "1");
 }
 
-// A peer causes thousands of events a second. The log takes no more lines than its bound, and the next line
-// that is written says how many were dropped: none is lost without a trace.
-TEST(EventLog, LinesBeyondTheBoundAreCounted) {
+// A peer causes thousands of events per second. Lines beyond the rate limit are dropped, and the next written
+// line has their count.
+TEST(EventLog, CountsLinesDroppedByTheRateLimit) {
   const TemporaryFolder folder("event_log");
   EventLog log(folder.file("log"), EventLog::Role::member, "n0");
   constexpr std::uint64_t events = 10 * EventLog::kMaxLinesPerSecond;
   for (std::uint64_t i = 0; i < events; ++i) log.write(Event::joined);
   const std::size_t before = linesOf(folder.textOf("log")).size();
   EXPECT_LT(before, events);
-  // In one of the next seconds there is room again.
+  // In one of the next seconds a line is written again.
   std::uint64_t written = 0;
   std::uint64_t dropped = 0;
   const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(30);
@@ -72,7 +72,7 @@
   EXPECT_EQ(written + dropped, events + more);
 }
 
-TEST(EventLog, EveryEventHasANameOfItsOwn) {
+TEST(EventLog, EventNamesAreUnique) {
   std::set<std::string_view> names;
   int count = 0;
   for (int event = 0; event <= static_cast<int>(Event::votingStarted); ++event, ++count)
--- a/tests/fleet/fallback_polling_test.cpp
+++ b/tests/fleet/fallback_polling_test.cpp
@@ -1,4 +1,4 @@
-// When a member polls discovery by itself.
+// Tests of when a member polls discovery itself.
 #include "fleet/fallback_polling.hpp"
 
 #include <gtest/gtest.h>
@@ -13,9 +13,10 @@
 
 lease::BootTime at(lease::Duration sinceBoot) { return lease::BootTime(sinceBoot); }
 
-// All three hundred members of a fleet become isolated at once. They poll discovery, but no more than one or
-// two in any second; one without a list comes sooner; and all stop when lists of the lease holder come again.
-TEST(FallbackPolling, OnlyTheLeaseHolderPollsAndWhoeverIsIsolatedAfterItsDelay) {
+// All three hundred members of a fleet become isolated at once. At most two begin to poll discovery in any
+// second, and a member without a list polls sooner. Polling stops when isolation ends or a list from the
+// lease holder is accepted.
+TEST(FallbackPolling, LeaseHoldersPollAndIsolatedMembersPollAfterADelay) {
   fleet::FallbackPolling polling;
   EXPECT_FALSE(polling.shouldPoll(at(1s)));
   polling.onLeaseChange(true);
@@ -30,7 +31,7 @@
   }
   for (const auto& [second, polls] : pollsBySecond) EXPECT_LE(polls, 2) << second;
   polling.onIsolationChange(true, at(1s), 300, false, 1);
-  EXPECT_EQ(*polling.pollsAt(), at(31s)) << "with no list at all it can't wait as long";
+  EXPECT_EQ(*polling.pollsAt(), at(31s)) << "the delay is shorter without a list";
   polling.onIsolationChange(false, at(2s), 300, false, 1);
   EXPECT_FALSE(polling.shouldPoll(at(100s)));
   polling.onListRejected(at(2s), 10, 0.5);
--- a/tests/fleet/fencing_file_test.cpp
+++ b/tests/fleet/fencing_file_test.cpp
@@ -1,4 +1,4 @@
-// The file of a receiver's fencing marks.
+// Tests of the file with a receiver's fencing marks.
 #include "fleet/fencing_file.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 const fleet::FencingMarks marks{{{"list", 0}, {7, 41, {"n0", 9}}}, {{"probe", 3}, {2, 1, {"n1", 5}}}};
 
-TEST(FencingFile, MarksAreReadAsTheyWereWritten) {
+TEST(FencingFile, ReadsTheMarksThatWereWritten) {
   const TemporaryFolder folder("fencing_file");
   const FencingFile file(folder.path());
   EXPECT_TRUE(file.isEnabled());
@@ -21,16 +21,16 @@
   EXPECT_EQ(FencingFile(folder.path()).read(), marks);
 }
 
-TEST(FencingFile, WithoutAFolderNothingIsStored) {
+TEST(FencingFile, StoresNothingWithoutAFolder) {
   const FencingFile file("");
   EXPECT_FALSE(file.isEnabled());
   EXPECT_EQ(file.write(marks), FencingFile::WriteResult::durable);
   EXPECT_FALSE(file.read().has_value());
 }
 
-// The folder has gone, or the file is damaged. A write that fails says so; a file that can't be read ends the
-// start with its name, since commands that were accepted before must not be accepted again.
-TEST(FencingFile, FailuresOfTheDiskAreReported) {
+// The folder is missing, or the file is damaged. A failed write is reported. A damaged file is an error that
+// names it, because without the marks, commands that were accepted before could be accepted again.
+TEST(FencingFile, ReportsFailedWritesAndDamagedFiles) {
   TemporaryFolder folder("fencing_file");
   EXPECT_EQ(FencingFile(folder.file("missing")).write(marks), FencingFile::WriteResult::failed);
   std::ofstream(folder.file("fence.json")) << "[{\"duty\": \"list\"}]";
--- a/tests/fleet/fleet_processes.hpp
+++ b/tests/fleet/fleet_processes.hpp
@@ -1,4 +1,4 @@
-// Coordinators as processes and members of the test's own, on loopback. A test waits for what it expects.
+// Fixture for tests with three coordinators as processes and members within the test's process, on loopback.
 #pragma once
 
 #include <signal.h>
@@ -21,7 +21,7 @@
 
 namespace cairnjunction::testing {
 
-inline std::string coordinatorProgram;  // its path; set once, by main
+inline std::string coordinatorProgram;  // path of the coordinator's program; set by main
 
 class CoordinatorProcess {
  public:
@@ -48,6 +48,8 @@
   }
   ~CoordinatorProcess() { end(SIGKILL); }
   void signal(int which) { ::kill(pid_, which); }
+  // Sends the signal `which` unless it is 0 and waits for the process to end. Returns its exit code, the
+  // negated number of the signal that ended it, or -1 if it was ended before.
   int end(int which) {
     if (pid_ <= 0) return -1;
     if (which) ::kill(pid_, which);
@@ -56,7 +58,7 @@
     pid_ = 0;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
   }
-  int exitCode() { return end(0); }  // waits for its own end
+  int exitCode() { return end(0); }  // waits until the process ends by itself
 
  private:
   pid_t pid_ = 0;
@@ -66,21 +68,21 @@
  protected:
   const std::string dir = ::testing::TempDir() + "fleet_" + std::to_string(::getpid()) + "/";
   std::vector<unsigned short> ports;
-  std::vector<std::unique_ptr<ReservedPort>> reserved;  // they are held for as long as the test lasts
+  std::vector<std::unique_ptr<ReservedPort>> reserved;              // keep the ports reserved during the test
   std::map<int, std::unique_ptr<CoordinatorProcess>> coordinators;  // by number
-  std::vector<std::unique_ptr<fleet::EventLog>> eventLogs;          // outlive the members that write them
-  struct Seen {                                                     // by one member
+  std::vector<std::unique_ptr<fleet::EventLog>> eventLogs;          // outlive the members that use them
+  struct Observed {  // leases and commands as observed by one member
     std::set<lease::LeaseKey> leases;
     std::vector<fleet::Command> commands;
   };
-  std::map<std::string, Seen> seen;
+  std::map<std::string, Observed> observed;
   std::map<std::string, std::unique_ptr<fleet::Member>> members;
   const lease::LeaseKey list{"list", 0};
 
   void SetUp() override {
     std::filesystem::create_directories(dir);
-    // Below the system's own ports, which connections of other tests are given; a coordinator comes back to
-    // its own.
+    // Below the ephemeral port range, so that no connection of another test is given a port while a
+    // coordinator restarts and has to bind it again.
     static unsigned short next = 11000;
     while (ports.size() < 6) {
       auto port = std::make_unique<ReservedPort>(io, next++);
@@ -95,6 +97,7 @@
     coordinators.clear();
     if (!HasFailure()) std::filesystem::remove_all(dir);
   }
+  // The fleet file's text.
   std::string fileText(const std::string& fleet = "yard") const {
     std::string text = "fleet = \"" + fleet +
                        "\"\nbeat_ms = 200\nalone_after_ms = 800\nsettle_ms = 200\nelection_ms = 200\n";
@@ -114,31 +117,36 @@
   void startCoordinators() {
     for (int i = 1; i <= 3; ++i) startCoordinator(i);
   }
+  // Starts a member. `extra` is appended to the fleet file's text.
   fleet::Member& join(const std::string& name, const std::string& extra = "",
                       const std::string& fleet = "yard") {
     const fleet::Settings settings = fleet::parseSettings(fileText(fleet) + extra, "test");
     const auto& eventLog = eventLogs.emplace_back(
         std::make_unique<fleet::EventLog>(dir + name + ".log", fleet::EventLog::Role::member, name));
-    Seen& own = seen[name] = {};
+    Observed& memberObserved = observed[name] = {};
     fleet::Member::Events events;
-    events.onLeaseChange = [&own](const lease::LeaseKey& key, bool holds) {
-      if (holds) own.leases.insert(key);
-      else own.leases.erase(key);
+    events.onLeaseChange = [&memberObserved](const lease::LeaseKey& key, bool holds) {
+      if (holds) memberObserved.leases.insert(key);
+      else memberObserved.leases.erase(key);
+    };
+    events.onCommand = [&memberObserved](const fleet::Command& command) {
+      memberObserved.commands.push_back(command);
     };
-    events.onCommand = [&own](const fleet::Command& command) { own.commands.push_back(command); };
     members[name] = std::make_unique<fleet::Member>(io, settings, name, events, *eventLog);
     return *members[name];
   }
-  std::string holder(const lease::LeaseKey& key) const {  // as members see it; empty: none of ours
+  // Name of the lease holder as the members observe it; empty if there is none.
+  std::string holder(const lease::LeaseKey& key) const {
     for (const auto& [name, member] : members)
-      if (seen.at(name).leases.count(key) && member->holds(key)) return name;
+      if (observed.at(name).leases.count(key) && member->holds(key)) return name;
     return {};
   }
+  // Number of the coordinator that leads; 0 if there is none. Blocks on the admin sockets.
   int leader() const {
     for (const auto& [number, coordinator] : coordinators) try {
         if (fleet::queryAdminSocket(folder(number) + "/control.sock", {{"ask", "status"}})["leads"])
           return number;
-      } catch (const std::runtime_error&) {  // it is not there
+      } catch (const std::runtime_error&) {  // the coordinator is not running
       }
     return 0;
   }
--- a/tests/fleet/frame_test.cpp
+++ b/tests/fleet/frame_test.cpp
@@ -1,4 +1,4 @@
-// Frames of every message.
+// Tests of the wire encoding of every message.
 #include "fleet/frame.hpp"
 
 #include <gtest/gtest.h>
@@ -29,9 +29,9 @@
           fleet::Leave{}};
 }
 
-// A peer sends frames that are cut short, or with bytes changed. Each is read as a message or ends in
-// BadFrame, and nothing is read beyond its end.
-TEST(Frame, IsReadAsItWasWrittenAndNothingElseIs) {
+// Truncated and corrupted payloads either decode as a message or throw BadFrame, and nothing is read beyond
+// their end.
+TEST(Frame, RoundTripsAndRejectsTruncatedPayloads) {
   std::mt19937_64 random(1);
   for (const Message& message : oneOfEach()) {
     const std::string bytes = *fleet::encode(message);
@@ -53,7 +53,7 @@
                fleet::BadFrame);
 }
 
-TEST(Frame, ErrorsSayWhatWasFoundAndExpected) {
+TEST(Frame, ErrorsNameWhatWasFoundAndExpected) {
   const auto errorOf = [](const std::string& payload) -> std::string {
     try {
       fleet::decode(payload);
--- a/tests/fleet/held_leases_test.cpp
+++ b/tests/fleet/held_leases_test.cpp
@@ -1,4 +1,4 @@
-// The leases that a member holds.
+// Tests of the leases that a member holds.
 #include "fleet/held_leases.hpp"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
                             },
                             [this](const lease::LeaseKey& key, lease::Epoch epoch, LeaseEndReason reason) {
                               EXPECT_NE(leases.activeEpoch(key), epoch)
-                                  << "it is not held any more when this is called";
+                                  << "the lease must have ended before the callback";
                               changes.push_back("end " + key.task + " " + std::to_string(epoch) + " " +
                                                 std::string(nameOf(reason)));
                             }}};
@@ -39,14 +39,14 @@
   leases.onGrant(grant(1, 500ms), at(510ms));
   EXPECT_EQ(changes, std::vector<std::string>{"begin list 1"});
   EXPECT_EQ(leases.activeEpoch(list), 1u);
-  EXPECT_EQ(leases.nextExpiry(), at(1490ms)) << "from the heartbeat, less the drift of clocks";
-  ASSERT_EQ(leases.toRenew(at(600ms)).size(), 1u);
-  EXPECT_EQ(leases.toRenew(at(600ms))[0].epoch, 1u);
-  EXPECT_TRUE(leases.toRenew(at(1490ms)).empty());
+  EXPECT_EQ(leases.nextExpiry(), at(1490ms)) << "measured from the heartbeat, less the allowed clock drift";
+  ASSERT_EQ(leases.leasesToRenew(at(600ms)).size(), 1u);
+  EXPECT_EQ(leases.leasesToRenew(at(600ms))[0].epoch, 1u);
+  EXPECT_TRUE(leases.leasesToRenew(at(1490ms)).empty());
 }
 
-// Nobody answers this member's heartbeats. Its lease ends by its own clock, and an answer that comes later
-// does not bring it back.
+// The member's heartbeats get no response. Its lease expires by its own clock, and a late response does not
+// restore it.
 TEST_F(HeldLeasesTest, ALeaseThatIsNotRenewedExpires) {
   leases.onGrant(grant(1, 0ms), at(10ms));
   leases.endExpired(at(989ms));
@@ -59,28 +59,28 @@
   EXPECT_FALSE(leases.nextExpiry());
 }
 
-// The lease was granted to another member and back to this one, which has not noticed. It ends under the old
-// epoch before it begins under the new one.
-TEST_F(HeldLeasesTest, ALaterEpochSupersedes) {
+// The lease was granted to another member and then to this one again, and this member has missed both
+// changes. The lease ends under the old epoch before it begins under the new one.
+TEST_F(HeldLeasesTest, AGrantOfALaterEpochSupersedesTheLease) {
   leases.onGrant(grant(1, 0ms), at(10ms));
   leases.onGrant(grant(3, 100ms), at(110ms));
   EXPECT_EQ(changes, (std::vector<std::string>{"begin list 1", "end list 1 superseded", "begin list 3"}));
-  leases.end(list, 1, LeaseEndReason::revoked);
-  EXPECT_EQ(leases.activeEpoch(list), 3u) << "of an epoch that is not held";
-  leases.end(list, 3, LeaseEndReason::released);
+  leases.endLease(list, 1, LeaseEndReason::revoked);
+  EXPECT_EQ(leases.activeEpoch(list), 3u) << "revocation of an epoch that is not held";
+  leases.endLease(list, 3, LeaseEndReason::released);
   leases.onGrant(grant(3, 200ms), at(210ms));
   EXPECT_EQ(leases.activeEpoch(list), std::nullopt) << "a released lease is not renewed";
 }
 
-TEST_F(HeldLeasesTest, TokensCountUpWithinTheEpoch) {
+TEST_F(HeldLeasesTest, SequencesIncreaseWithinAnEpoch) {
   EXPECT_FALSE(leases.nextToken(list, self, at(0ms)));
   leases.onGrant(grant(2, 0ms), at(10ms));
   EXPECT_EQ(leases.nextToken(list, self, at(20ms)), (lease::FencingToken{list, 2, 1, self}));
   EXPECT_EQ(leases.nextToken(list, self, at(20ms)), (lease::FencingToken{list, 2, 2, self}));
-  EXPECT_EQ(leases.toRenew(at(20ms))[0].sequence, 2u);
+  EXPECT_EQ(leases.leasesToRenew(at(20ms))[0].sequence, 2u);
 }
 
-TEST_F(HeldLeasesTest, AllEndWhenTheMemberLeaves) {
+TEST_F(HeldLeasesTest, AllLeasesEndWhenTheMemberLeaves) {
   leases.onGrant(grant(1, 0ms), at(10ms));
   leases.onGrant({{"probe", 2}, 5, 0, at(0ms), 1000ms}, at(10ms));
   leases.endAll(LeaseEndReason::leaving);
--- a/tests/fleet/lease_granting_test.cpp
+++ b/tests/fleet/lease_granting_test.cpp
@@ -1,4 +1,4 @@
-// Grants and moves of leases by the leader.
+// Tests of granting and rebalancing leases by the leader.
 #include "fleet/lease_granting.hpp"
 
 #include "coordinator_parts.hpp"
@@ -10,71 +10,71 @@
  protected:
   fleet::LeaseGranting granting{io, settings, log, connections, events};
 
-  std::size_t holds(const std::string& name) const { return log.table().held({name, 1}, log.now()); }
+  std::size_t heldCount(const std::string& name) const { return log.table().held({name, 1}, log.now()); }
 };
 
-TEST_F(LeaseGrantingTest, FreeLeasesAreGrantedFromTheLastHeartbeat) {
+TEST_F(LeaseGrantingTest, GrantsAreMeasuredFromTheLastHeartbeat) {
   Peer& first = connect("a");
   granting.grantFreeLeases();
-  EXPECT_EQ(holds("a"), 5u);
+  EXPECT_EQ(heldCount("a"), 5u);
   ASSERT_TRUE(until([&] { return first.received.size() == 5; }));
-  const auto responses = first.all<fleet::HeartbeatResponse>();
+  const auto responses = first.receivedOf<fleet::HeartbeatResponse>();
   ASSERT_EQ(responses.size(), 5u);
   EXPECT_EQ(responses[0].granted.at(0).epoch, 1u);
   EXPECT_EQ(responses[0].granted.at(0).askedAt, first.connection->lastHeartbeat);
 }
 
-// A heartbeat comes while the entry of a grant is being written. The lease counts from the one before it: the
-// log's time of the grant was read before the new one came.
+// A heartbeat arrives while the log entry of a grant is being written. The lease is measured from the
+// heartbeat before it, because the log's time of the grant was read before the new one arrived.
 TEST_F(LeaseGrantingTest, AHeartbeatDuringTheProposalDoesNotExtendTheLease) {
   Peer& first = connect("a");
   const lease::BootTime asked = *first.connection->lastHeartbeat;
-  replicated.holds = true;
+  replicated.deferCommits = true;
   granting.grantFreeLeases();
   granting.grantFreeLeases();
   first.connection->lastHeartbeat = asked + std::chrono::seconds(60);
-  replicated.commitHeld();
-  EXPECT_EQ(holds("a"), 5u);
+  replicated.commitDeferred();
+  EXPECT_EQ(heldCount("a"), 5u);
   ASSERT_TRUE(until([&] { return first.received.size() == 5; })) << "each lease was proposed once";
-  for (const auto& response : first.all<fleet::HeartbeatResponse>())
+  for (const auto& response : first.receivedOf<fleet::HeartbeatResponse>())
     EXPECT_EQ(response.granted.at(0).askedAt, asked);
 }
 
-TEST_F(LeaseGrantingTest, NothingIsGrantedToWhoCantTakeIt) {
+TEST_F(LeaseGrantingTest, GrantsNothingToIneligibleMembers) {
   connect("a").connection->eligible = false;
   connect("b").connection->joined = false;
   connect("c").connection->lastHeartbeat.reset();
   granting.grantFreeLeases();
   EXPECT_TRUE(log.table().holdings().empty());
   connect("d");
-  replicated.leads = false;
+  replicated.leading = false;
   granting.grantFreeLeases();
   EXPECT_TRUE(log.table().holdings().empty()) << "this coordinator does not lead";
 }
 
-// One member holds all, since it came first. Shards move to one that comes later, one at a time; a task that
-// is not sharded stays.
-TEST_F(LeaseGrantingTest, LeasesMoveToMembersThatHoldFew) {
+// The first member holds all leases. Leases of shards are transferred one at a time to a member that joins
+// later; the lease of a task with a single shard is not.
+TEST_F(LeaseGrantingTest, RebalancesLeasesToMembersWithFewer) {
   Peer& first = connect("a");
   granting.start();
-  EXPECT_EQ(holds("a"), 5u);
+  EXPECT_EQ(heldCount("a"), 5u);
   connect("b");
-  ASSERT_TRUE(until([&] { return !first.all<fleet::TransferLease>().empty(); }));
-  EXPECT_EQ(first.all<fleet::TransferLease>()[0].key.task, "probe");
-  EXPECT_EQ(first.all<fleet::TransferLease>().size(), 1u);
+  ASSERT_TRUE(until([&] { return !first.receivedOf<fleet::TransferLease>().empty(); }));
+  EXPECT_EQ(first.receivedOf<fleet::TransferLease>()[0].key.task, "probe");
+  EXPECT_EQ(first.receivedOf<fleet::TransferLease>().size(), 1u);
   granting.stop();
 }
 
-TEST_F(LeaseGrantingTest, ATransferIsAskedOfTheHolder) {
+TEST_F(LeaseGrantingTest, RequestsATransferFromTheHolder) {
   EXPECT_EQ(granting.transfer(list), fleet::TransferResult::notHeld);
   Peer& first = connect("a");
   granting.grantFreeLeases();
   EXPECT_EQ(granting.transfer(list), fleet::TransferResult::requested);
-  ASSERT_TRUE(until([&] { return first.all<fleet::TransferLease>().size() == 1; }));
-  EXPECT_EQ(first.all<fleet::TransferLease>()[0].key, list);
+  ASSERT_TRUE(until([&] { return first.receivedOf<fleet::TransferLease>().size() == 1; }));
+  EXPECT_EQ(first.receivedOf<fleet::TransferLease>()[0].key, list);
   connections.remove(first.connection);
   EXPECT_EQ(granting.transfer(list), fleet::TransferResult::holderNotConnected);
-  replicated.leads = false;
+  replicated.leading = false;
   EXPECT_EQ(granting.transfer(list), fleet::TransferResult::notLeader);
 }
 
--- a/tests/fleet/lease_log_test.cpp
+++ b/tests/fleet/lease_log_test.cpp
@@ -1,4 +1,4 @@
-// What the leader proposes, and the log's time.
+// Tests of proposing lease changes, and of the log's time.
 #include "fleet/lease_log.hpp"
 
 #include "coordinator_parts.hpp"
@@ -8,7 +8,7 @@
 
 using LeaseLogTest = CoordinatorPartsTest;
 
-TEST_F(LeaseLogTest, AProposalIsAppliedAndItsResultHandedBack) {
+TEST_F(LeaseLogTest, AppliesAProposalAndReturnsItsResult) {
   std::optional<lease::ApplyResult> result;
   log.propose(lease::MemberJoined{{"a", 1}, ""},
               [&](const lease::ApplyResult& applied) { result = applied; });
@@ -19,11 +19,11 @@
   EXPECT_NE(result->rejection, lease::RejectionReason::none);
 }
 
-// Leadership is lost while an entry waits, or there is no log yet. Nobody is told that it was applied.
-TEST_F(LeaseLogTest, WithoutLeadershipNothingIsHandedBack) {
+// Without leadership or an attached log, the callback of a proposal is never called.
+TEST_F(LeaseLogTest, ReturnsNoResultWithoutLeadership) {
   bool called = false;
   const auto onApplied = [&](const lease::ApplyResult&) { called = true; };
-  replicated.leads = false;
+  replicated.leading = false;
   log.propose(lease::MemberJoined{{"a", 1}, ""}, onApplied);
   log.detach();
   EXPECT_FALSE(log.isLeader());
@@ -32,15 +32,15 @@
   EXPECT_FALSE(called);
 }
 
-// A coordinator begins to lead long after the last entry. The log's time goes on from that entry, and not
-// from the machine's clock: leases are never cut short by a change of leader.
-TEST_F(LeaseLogTest, TheLogsTimeGoesOnFromTheLastEntry) {
+// A coordinator becomes the leader some time after the last entry. The log's time continues from that entry
+// and not from the machine's clock, so a change of leader never shortens a lease.
+TEST_F(LeaseLogTest, TimeContinuesFromTheLastEntry) {
   const lease::LogTime last = log.now();
   log.propose(lease::MemberJoined{{"a", 1}, ""}, [](const lease::ApplyResult&) {});
   ASSERT_GE(log.table().now(), last);
   ASSERT_TRUE(until([&] { return log.now() - log.table().now() >= std::chrono::milliseconds(20); }));
   const lease::LogTime atEntry = log.table().now();
-  log.beginLeading();
+  log.onLeadershipAcquired();
   EXPECT_LT(log.now() - atEntry, std::chrono::milliseconds(20));
   EXPECT_GE(log.now(), atEntry);
 }
--- a/tests/fleet/lease_renewal_test.cpp
+++ b/tests/fleet/lease_renewal_test.cpp
@@ -1,4 +1,4 @@
-// The leader's answers to heartbeats.
+// Tests of the leader's responses to heartbeats.
 #include "fleet/lease_renewal.hpp"
 
 #include "coordinator_parts.hpp"
@@ -16,25 +16,25 @@
   }
 };
 
-TEST_F(LeaseRenewalTest, AMemberThatHoldsNothingIsAnsweredWithoutTheLog) {
+TEST_F(LeaseRenewalTest, RespondsWithoutTheLogIfNothingIsHeld) {
   Peer& first = connect("a");
-  const int before = replicated.proposals;
+  const int before = replicated.committedCount;
   renewal.onHeartbeat(first.connection, {sentAt, {}});
   EXPECT_EQ(first.connection->lastHeartbeat, sentAt);
   ASSERT_TRUE(until([&] { return first.received.size() == 1; }));
-  EXPECT_EQ(first.all<fleet::HeartbeatResponse>().at(0).members, 1u);
-  EXPECT_EQ(replicated.proposals, before);
+  EXPECT_EQ(first.receivedOf<fleet::HeartbeatResponse>().at(0).members, 1u);
+  EXPECT_EQ(replicated.committedCount, before);
 }
 
-TEST_F(LeaseRenewalTest, WhatIsHeldIsRenewedByOneEntry) {
+TEST_F(LeaseRenewalTest, RenewsAllHeldLeasesWithOneEntry) {
   Peer& first = connect("a");
   grant(list, first.connection->member);
   grant({"probe", 1}, first.connection->member);
-  const int before = replicated.proposals;
+  const int before = replicated.committedCount;
   renewal.onHeartbeat(first.connection, {sentAt, {{list, 1, 7}, {{"probe", 1}, 1, 0}}});
-  EXPECT_EQ(replicated.proposals, before + 1);
+  EXPECT_EQ(replicated.committedCount, before + 1);
   ASSERT_TRUE(until([&] { return first.received.size() == 1; }));
-  const fleet::HeartbeatResponse response = first.all<fleet::HeartbeatResponse>().at(0);
+  const fleet::HeartbeatResponse response = first.receivedOf<fleet::HeartbeatResponse>().at(0);
   ASSERT_EQ(response.granted.size(), 2u);
   EXPECT_EQ(response.granted[0].key, list);
   EXPECT_EQ(response.granted[0].sequence, 7u);
@@ -42,30 +42,30 @@
   EXPECT_TRUE(response.lost.empty());
 }
 
-// A member believes that it holds leases of another member, of an old epoch, and of a task that this fleet
-// does not have. It is told that it has lost each.
-TEST_F(LeaseRenewalTest, WhatIsNotHeldIsLost) {
+// A member reports a lease that another member holds and one of an unknown task. The response lists both as
+// lost.
+TEST_F(LeaseRenewalTest, ReportsLeasesThatAreNotHeldAsLost) {
   Peer& first = connect("a");
   grant(list, {"another", 5});
   renewal.onHeartbeat(first.connection, {sentAt, {{list, 1, 0}, {{"unknown", 0}, 3, 0}}});
   ASSERT_TRUE(until([&] { return first.received.size() == 2; }));
   std::vector<fleet::LostLease> lost;
-  for (const auto& response : first.all<fleet::HeartbeatResponse>()) {
+  for (const auto& response : first.receivedOf<fleet::HeartbeatResponse>()) {
     EXPECT_TRUE(response.granted.empty());
     lost.insert(lost.end(), response.lost.begin(), response.lost.end());
   }
   EXPECT_EQ(lost, (std::vector<fleet::LostLease>{{{"unknown", 0}, 3}, {list, 1}}));
 }
 
-// The link ends while the renewal waits for the log. The answer is sent to nobody.
-TEST_F(LeaseRenewalTest, AnEndedLinkIsNotAnswered) {
+// The link ends while the renewal waits for the log. No response is sent.
+TEST_F(LeaseRenewalTest, SendsNoResponseAfterTheLinkEnded) {
   Peer& first = connect("a");
   grant(list, first.connection->member);
-  replicated.holds = true;
+  replicated.deferCommits = true;
   renewal.onHeartbeat(first.connection, {sentAt, {{list, 1, 0}}});
   first.connection->link->close(fleet::LinkEnd::stopped);
   EXPECT_TRUE(first.connection->ended);
-  replicated.commitHeld();
+  replicated.commitDeferred();
   ASSERT_TRUE(until([&] { return first.end.has_value(); }));
   EXPECT_TRUE(first.received.empty());
 }
--- a/tests/fleet/link_test.cpp
+++ b/tests/fleet/link_test.cpp
@@ -1,4 +1,4 @@
-// Links between two sides on loopback, and between a link and a raw socket.
+// Tests of links on loopback: between two links, and between a link and a raw socket.
 #include "fleet/link.hpp"
 
 #include <boost/asio/write.hpp>
@@ -17,12 +17,12 @@
   tcp::acceptor acceptor{io, loopback()};
   std::shared_ptr<fleet::Link> near, far;
   std::optional<LinkEnd> nearEnd, farEnd;
-  int heard = 0;
+  int receivedCount = 0;
   fleet::Link::Limits limits{1000ms, 300ms, 300ms, 1 << 20};
 
   fleet::Link::Callbacks callbacks(std::optional<LinkEnd>& end) {
-    return {nullptr, [this](const Message&) { ++heard; },
-            [&end](LinkEnd seen, const std::string&) { end = seen; }};
+    return {nullptr, [this](const Message&) { ++receivedCount; },
+            [&end](LinkEnd reason, const std::string&) { end = reason; }};
   }
   void connect() {
     acceptor.async_accept([this](error_code ec, tcp::socket socket) {
@@ -30,7 +30,7 @@
       far = fleet::Link::accepted(io, std::move(socket), limits, callbacks(farEnd));
     });
     near = fleet::Link::dial(io, acceptor.local_endpoint(), limits, callbacks(nearEnd));
-    ASSERT_TRUE(until([&] { return near->isUp() && far; }));
+    ASSERT_TRUE(until([&] { return near->isConnected() && far; }));
   }
   void TearDown() override {
     for (const auto& link : {near, far})
@@ -40,15 +40,15 @@
   }
 };
 
-// Nobody listens; both sides are silent; one side ends its link after a last message. Each is seen by its
-// name.
-TEST_F(LinkTest, EachEndHasItsName) {
+// Nothing listens, both sides send nothing, or one side finishes its link after a last message: each end is
+// reported with its LinkEnd.
+TEST_F(LinkTest, ReportsTheReasonOfEachEnd) {
   near = fleet::Link::dial(io, {asio::ip::make_address("127.0.0.1"), 1}, limits, callbacks(nearEnd));
   ASSERT_TRUE(until([&] { return nearEnd.has_value(); }));
   EXPECT_EQ(*nearEnd, LinkEnd::connectionRefused);
   nearEnd.reset();
   connect();
-  ASSERT_TRUE(until([&] { return nearEnd && farEnd; })) << "nobody says a word";
+  ASSERT_TRUE(until([&] { return nearEnd && farEnd; })) << "neither side sends a frame";
   EXPECT_TRUE(*nearEnd == LinkEnd::receiveTimeout || *farEnd == LinkEnd::receiveTimeout);
   nearEnd.reset();
   farEnd.reset();
@@ -57,14 +57,14 @@
   near->finish(LinkEnd::stopped);
   ASSERT_TRUE(until([&] { return farEnd.has_value(); }));
   EXPECT_EQ(*farEnd, LinkEnd::reset);
-  EXPECT_EQ(heard, 1) << "what was sent before the end arrives";
+  EXPECT_EQ(receivedCount, 1) << "a message queued before finish() is delivered";
 }
 
-// A raw peer sends what a link never would: a frame cut at each of its bytes, half a frame and then nothing,
-// a length that is too long, and payloads that are no message.
-TEST_F(LinkTest, BytesThatAreCutOffOrWrongEndTheLinkByName) {
+// A raw peer sends invalid bytes: a frame truncated at each byte before closing, an incomplete frame without
+// closing, an excessive length, and payloads that are no message.
+TEST_F(LinkTest, TruncatedAndInvalidFramesEndTheLinkWithAReason) {
   const std::string frame = *fleet::encode(fleet::Heartbeat{lease::BootTime(1ms), {{{"list", 0}, 4, 3}}});
-  const auto play = [&](const std::string& bytes, bool closes) {
+  const auto sendRaw = [&](const std::string& bytes, bool closes) {
     farEnd.reset();
     tcp::socket raw(io);
     acceptor.async_accept([this](error_code, tcp::socket socket) {
@@ -77,17 +77,18 @@
     return *farEnd;
   };
   for (std::size_t size = 0; size < frame.size(); ++size)
-    EXPECT_EQ(play(frame.substr(0, size), true), LinkEnd::reset) << size;
-  EXPECT_EQ(heard, 0);
-  EXPECT_EQ(play(frame.substr(0, frame.size() - 1), false), LinkEnd::receiveTimeout)
-      << "half a frame says nothing";
-  EXPECT_EQ(play("\xff\xff\xff\xff", false), LinkEnd::badFrame) << "too long";
-  EXPECT_EQ(play(std::string("\0\0\0\1x", 5), false), LinkEnd::badFrame);
-  EXPECT_EQ(play(std::string("\0\0\0\0", 4), false), LinkEnd::badFrame);
+    EXPECT_EQ(sendRaw(frame.substr(0, size), true), LinkEnd::reset) << size;
+  EXPECT_EQ(receivedCount, 0);
+  EXPECT_EQ(sendRaw(frame.substr(0, frame.size() - 1), false), LinkEnd::receiveTimeout)
+      << "an incomplete frame does not restart the timer";
+  EXPECT_EQ(sendRaw("\xff\xff\xff\xff", false), LinkEnd::badFrame) << "the length exceeds the maximum";
+  EXPECT_EQ(sendRaw(std::string("\0\0\0\1x", 5), false), LinkEnd::badFrame);
+  EXPECT_EQ(sendRaw(std::string("\0\0\0\0", 4), false), LinkEnd::badFrame);
 }
 
-// The peer reads nothing, so what is sent piles up here. The link ends at its bound.
-TEST_F(LinkTest, APeerThatReadsNothingEndsTheLink) {
+// The peer reads nothing, so frames accumulate in the send queue. The link ends when the queue's limit is
+// exceeded.
+TEST_F(LinkTest, APeerThatDoesNotReadEndsTheLink) {
   tcp::socket raw(io);
   acceptor.async_accept([this](error_code, tcp::socket socket) {
     limits.receiveTimeout = 60s;
@@ -101,11 +102,11 @@
   EXPECT_EQ(*farEnd, LinkEnd::sendTimeout);
 }
 
-// The link is abandoned by its holder, which is about to go away: no callback comes any more.
-TEST_F(LinkTest, AnAbandonedLinkCallsNobody) {
+// An owner abandons the link before it is destroyed: no callback is called afterwards.
+TEST_F(LinkTest, AnAbandonedLinkCallsNoCallback) {
   connect();
   near->abandon();
-  EXPECT_FALSE(near->isUp());
+  EXPECT_FALSE(near->isConnected());
   ASSERT_TRUE(until([&] { return farEnd.has_value(); }));
   EXPECT_EQ(*farEnd, LinkEnd::reset);
   EXPECT_FALSE(nearEnd.has_value());
