--- a/tests/fleet/retained_commands_test.cpp
+++ b/tests/fleet/retained_commands_test.cpp
@@ -1,4 +1,4 @@
-// Commands that the leader stores for members that join later.
+// Tests of the commands that the leader stores for members that join later.
 #include "fleet/retained_commands.hpp"
 
 #include <gtest/gtest.h>
@@ -13,8 +13,8 @@
 }
 fleet::SharedFrame frame(std::size_t size) { return std::make_shared<std::string>(size, 'x'); }
 
-// Commands of a former lease holder, or out of turn, come after later ones. The latest stays.
-TEST(RetainedCommands, TheLatestOfEachKeyIsStored) {
+// Stale commands, of a former lease holder or out of order, arrive after later ones. The latest is kept.
+TEST(RetainedCommands, StoresTheLatestCommandOfEachKey) {
   RetainedCommands retained;
   retained.store(token(0, 2, 5), frame(10));
   retained.store(token(0, 2, 4), frame(20));
@@ -31,8 +31,9 @@
   EXPECT_TRUE(retained.entries().empty());
 }
 
-// Members send more than the leader may store. What is stored stays, and what does not fit is not stored.
-TEST(RetainedCommands, BytesAndKeysAreBounded) {
+// Members send more than the leader may store. A command that would exceed a limit is not stored, and stored
+// ones are kept.
+TEST(RetainedCommands, LimitsBytesAndKeys) {
   RetainedCommands retained;
   retained.store(token(0, 1, 1), frame(RetainedCommands::kMaxBytes));
   retained.store(token(1, 1, 1), frame(1));
@@ -40,7 +41,7 @@
   retained.store(token(0, 1, 2), frame(RetainedCommands::kMaxBytes + 1));
   EXPECT_EQ(retained.entries().at({"probe", 0}).token.sequence, 1u);
   retained.store(token(0, 1, 2), frame(1));
-  EXPECT_EQ(retained.bytes(), 1u) << "a smaller one in place of a larger one";
+  EXPECT_EQ(retained.bytes(), 1u) << "a smaller command replaces a larger one";
   for (std::uint32_t shard = 1; shard < 2 * RetainedCommands::kMaxKeys; ++shard)
     retained.store(token(shard, 1, 1), frame(1));
   EXPECT_EQ(retained.entries().size(), RetainedCommands::kMaxKeys);
--- a/tests/fleet/settings_test.cpp
+++ b/tests/fleet/settings_test.cpp
@@ -1,4 +1,4 @@
-// The fleet file.
+// Tests of parsing the fleet file.
 #include "fleet/settings.hpp"
 
 #include <gtest/gtest.h>
@@ -15,8 +15,8 @@
   return text;
 }
 
-// An operator makes a mistake in the fleet file. The program ends with the line and what was expected there.
-TEST(FleetSettings, MistakesAreNamedWithTheirLine) {
+// Errors in the fleet file are reported with the line and what was expected.
+TEST(FleetSettings, ErrorsNameTheLineAndTheExpectedValue) {
   EXPECT_EQ(fleet::parseSettings(fileText("[member]\nzone = \"brasov\""), "f").zone, "brasov");
   const std::pair<std::string, const char*> mistakes[] = {
       {fileText("", 2), "3 or 5 keepers"},
@@ -35,15 +35,15 @@
       {fileText("[[duty]]\nname = \"a\"\n[[duty]]\nname = \"a\""), "'a' stands there twice"},
       {fileText("[member]\nwiling = true"), "unknown key 'wiling'"},
       {fileText("member = 3"), "'member' is no table"}};
-  for (const auto& [text, said] : mistakes) try {
+  for (const auto& [text, expected] : mistakes) try {
       fleet::parseSettings(text, "f");
       ADD_FAILURE() << text;
     } catch (const fleet::BadSettings& bad) {
-      EXPECT_NE(std::string(bad.what()).find(said), std::string::npos) << bad.what();
+      EXPECT_NE(std::string(bad.what()).find(expected), std::string::npos) << bad.what();
     }
 }
 
-TEST(FleetSettings, CoordinatorsAndTasksAreFoundByNumberAndName) {
+TEST(FleetSettings, FindsCoordinatorsByNumberAndTasksByName) {
   const fleet::Settings settings =
       fleet::parseSettings(fileText("[[duty]]\nname = \"probe\"\nshards = 8"), "f");
   ASSERT_NE(settings.coordinator(2), nullptr);
--- a/tests/fleet/temporary_folder.hpp
+++ b/tests/fleet/temporary_folder.hpp
@@ -1,4 +1,4 @@
-// A folder of a test's own, removed with it.
+// A temporary folder for a test, unique per process and name, and removed by the destructor.
 #pragma once
 
 #include <gtest/gtest.h>
