--- a/src/lease/codec.hpp
+++ b/src/lease/codec.hpp
@@ -11,8 +11,8 @@
 namespace cairnjunction::lease {
 
 std::string encode(const LogEntry& entry);
-// Throws std::invalid_argument if the bytes do not have the format of an entry. LeaseTable::apply() checks the
-// ranges of its values.
+// Throws std::invalid_argument if the bytes do not have the format of an entry. LeaseTable::apply() checks
+// the ranges of its values.
 LogEntry decode(std::string_view bytes);
 
 std::string encodeSnapshot(const LeaseTableState& state);
