--- a/include/cairnjunction/action.hpp
+++ b/include/cairnjunction/action.hpp
@@ -12,7 +12,7 @@
 
 enum class ActionKind : std::uint8_t {
   send,            // send an attempt of the request to the endpoint, with timeLimit as its timeout
-  reject,          // answer that the request had no effect and can safely be repeated after retryAfter
+  reject,          // answer that the request had no effect or is safe to repeat; retry after retryAfter
   fail,            // answer with an error: the outcome is unknown, the request may have been executed
   cancel,          // cancel the attempt if it is still in flight
   closeIdle,       // close the idle connections to the endpoint
--- a/include/cairnjunction/endpoint.hpp
+++ b/include/cairnjunction/endpoint.hpp
@@ -28,7 +28,7 @@
   std::string zone;
   std::string machineKind;  // endpoints of one kind are assumed to have the same capacity
   std::int64_t cell = 0;    // endpoints of one cell and zone share deduplication, see DedupScope
-  double weight = 1;        // comparable across endpoints; see Settings::loadReports
+  double weight = 1;        // used only with Settings::loadReports; falls with the load of the endpoint
   EndpointState state = EndpointState::active;
   Timestamp startedAt{};      // latest start of its process; zero: long ago
   int maxInFlight = INT_MAX;  // attempts that this gateway may have in flight to it; at least 1
--- a/include/cairnjunction/load_balancer.hpp
+++ b/include/cairnjunction/load_balancer.hpp
@@ -44,7 +44,7 @@
   // An endpoint list has arrived, or could not be fetched. The entries are copied.
   void onEndpoints(Timestamp now, EndpointListKind kind, const std::vector<EndpointInfo>& entries);
 
-  // A request has arrived. Actions send, reject or fail it, or it is queued; it is answered exactly once.
+  // A request arrived: it is sent, rejected, failed or queued. One answer, or none if its client disconnects.
   void onRequest(Timestamp now, const Request& request);
 
   // The client has received part of this attempt's response, so no other attempt can answer the request.
--- a/include/cairnjunction/request.hpp
+++ b/include/cairnjunction/request.hpp
@@ -19,7 +19,7 @@
   Duration expectedCost{};            // expected processing time; zero: unknown
   std::uint64_t key = 0;              // for serialization and key affinity; ignored unless hasKey
   bool hasKey = false;
-  std::uint32_t maxAttempts = kNone;  // at least 1; applies in addition to Settings::maxAttempts
+  std::uint32_t maxAttempts = kNone;  // a limit besides Settings::maxAttempts; at least 1; kNone: none
 };
 
 }  // namespace cairnjunction::policy
--- a/include/cairnjunction/settings.hpp
+++ b/include/cairnjunction/settings.hpp
@@ -55,9 +55,9 @@
   double overQuotaWeightFactor =
       0.1;  // factor on the priority weight of requests beyond their tenant's quota; 0 to 1
   bool pollDiscovery = false;      // endpoint lists and updates arrive only after a poll
-  bool loadReports = false;        // EndpointInfo::weight is a load report: size / (1 + requests per core)
+  bool loadReports = false;        // weights are load reports: unloaded weight / (1 + requests per core)
   bool hedging = false;            // allows a second concurrent attempt
-  bool keyAffinity = false;        // endpoints serve a key that they served recently with less work
+  bool keyAffinity = false;        // prefers endpoints that need less work for a key served recently
   bool retryAfterAllowed = false;  // clients honour Retry-After
   bool cancelAllowed = false;      // attempts may be cancelled
   std::uint32_t maxAttempts = 1;   // per request; at least 1
@@ -66,7 +66,7 @@
   Duration idleTimeout{};                  // unused connections are closed after this time; zero: never
   Duration maxRetryAfter{};                // longest Retry-After that clients honour
   Duration maxPollInterval{};              // pollDiscovery: longest time between failed polls; zero: no limit
-  Duration eventInterval{};                // events arrive in batches this far apart: their longest delay
+  Duration eventInterval{};                // events arrive in batches at this interval: their longest delay
   Duration slowStartDuration{};            // time from its start until an endpoint has its full capacity
   double slowStartInitialFraction = 1;     // fraction of its capacity at its start; above 0, up to 1
   // An endpoint collapses when its load is this multiple of its capacity (above 0) for collapseWindow.
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -14,7 +14,7 @@
 constexpr double kInFlightThreshold = 0.5;  // fraction of the limit up to which nothing is rejected
 constexpr double kInFlightGain = 0.05;      // per arrival: over about the last 20
 constexpr double kInFlightUpdateGain =
-    0.5;  // per update: with few arrivals alone, a past burst would count too long
+    0.5;  // per update: if only arrivals were sampled, few arrivals would keep a past burst in the mean
 // A gateway that is one of many has few attempts in flight, a count that fluctuates by its square root; the
 // cubic function would turn the fluctuation into rejections. At low sample confidence the range from the
 // threshold to the full cutoff is therefore longer, and the threshold lower.
@@ -33,8 +33,8 @@
 constexpr double kMinInFlightPerEndpoint = 4;
 constexpr int kInitialUpdates = 10;  // of kUpdateInterval each
 // Per update: the baseline decays within minutes. When all endpoints slow down together, a limit that
-// followed the falling rate of answers would idle them; the in-flight count per endpoint from before the
-// rejections stays allowed.
+// followed the falling rate of answers would leave them idle; the in-flight count per endpoint from before
+// the rejections stays allowed.
 constexpr double kBaselineDecay = 0.001;
 constexpr double kErrorRateThreshold =
     0.1;  // error rate up to which nothing is rejected: a few per cent are normal
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -28,7 +28,7 @@
 
   // A request has arrived: samples the number in flight and updates the cutoff.
   void recordArrival(Timestamp now);
-  // An attempt had an outcome that counts towards the load of the pool.
+  // Counts an outcome. Must be called for the same attempts as OutlierDetector::recordOutcome.
   void recordOutcome() { outcomes_ += 1; }
   // That outcome was `overloaded`. Call it in addition to recordOutcome, but not for an endpoint that is
   // OutlierDetector::isPersistentlyOverloaded. `weight`: the endpoint's success weight for the class, 0 to 1.
--- a/src/policy/class_state.cpp
+++ b/src/policy/class_state.cpp
@@ -11,7 +11,7 @@
 constexpr double kSameTimeTolerance =
     0.02;  // of the client timeout: remaining times closer than this count as equal
 constexpr double kBucketDecay = 0.98;  // per request: over about the last 50
-constexpr double kLaterBucketPreference =
+constexpr double kLongerTimePreference =
     0.9;  // a bucket of longer times wins with this fraction of the count of a shorter one
 constexpr double kClassFailureGain = 0.02;  // per attempt: over about the last 50
 constexpr double kMaxLatencyRatio = 20;
@@ -27,7 +27,7 @@
   bucketCounts_[bucket] += 1;
   const auto fullest =
       std::max_element(bucketCounts_.rbegin(), bucketCounts_.rend(),
-                       [](double best, double other) { return best < kLaterBucketPreference * other; });
+                       [](double best, double other) { return best < kLongerTimePreference * other; });
   usualBucket_ = static_cast<std::size_t>(bucketCounts_.rend() - fullest) - 1;
   if (bucket == usualBucket_) usualTimeRemaining_ = timeRemaining;
   const bool isFirstAttempt =
--- a/src/policy/connection_age.hpp
+++ b/src/policy/connection_age.hpp
@@ -17,7 +17,7 @@
   // Effect of a send on the endpoint's connections.
   struct SendEffect {
     bool newConnection = false;    // none has capacity: one is opened for the attempt
-    std::size_t idleStep = 0;      // idle time of the connection used; 0: new or in use
+    std::size_t idleStep = 0;      // step of the idle time of its connection; 0: new or in use
     bool closeStaleFirst = false;  // the idle connections must be closed first
   };
 
--- a/src/policy/endpoint_list_poller.cpp
+++ b/src/policy/endpoint_list_poller.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr Duration kInitialPollBackoff =
-    std::chrono::milliseconds(500);          // doubled with each consecutive failure
-constexpr int kMaxPollBackoffDoublings = 4;  // limit of the doublings
+    std::chrono::milliseconds(500);  // doubled with each consecutive failure, including the first
+constexpr int kMaxPollBackoffDoublings = 4;
 
 }  // namespace
 
--- a/src/policy/endpoint_list_poller.hpp
+++ b/src/policy/endpoint_list_poller.hpp
@@ -27,7 +27,7 @@
   bool listReceived_ = false;  // a list has arrived since the poll was started
   Timestamp pollStartedAt_{};
   Timestamp nextPollAt_{};
-  int consecutiveFailures_ = 0;  // in a row, up to kMaxPollBackoffDoublings
+  int consecutiveFailures_ = 0;  // up to kMaxPollBackoffDoublings
 };
 
 }  // namespace cairnjunction::policy
--- a/src/policy/endpoint_record.hpp
+++ b/src/policy/endpoint_record.hpp
@@ -67,9 +67,9 @@
 
 // Members are in the order in which a pick reads them, since a pick examines every endpoint of the subset.
 struct Endpoint {
-  EndpointInfo info;           // as last listed; an empty address marks a free id
-  Timestamp restartedAfter{};  // its process is known to have started after this time
-  int inFlight = 0;            // attempts of this gateway in flight to it
+  EndpointInfo info;         // as last listed; an empty address marks a free id
+  Timestamp startedAfter{};  // its process is known to have started after this time
+  int inFlight = 0;          // attempts of this gateway in flight to it
   Reachability reachability = Reachability::reachable;
   bool inOwnZone = false;  // in this gateway's zone
   OutlierRecord outlier;
@@ -81,7 +81,7 @@
   std::vector<bool> allowedForClass;  // by class index: whether allowedZones and allowedMachineKinds allow it
   std::uint64_t addressHash = 0;      // hash of the address: the same at every gateway
   std::size_t machineKind = 0;        // into EndpointTable::machineKinds
-  int references = 0;                 // number of attempts of open requests, including settled ones
+  int references = 0;                 // number of attempts of open requests, including ended ones
 
   // Whether the endpoint counts towards the load and the error rate of the pool. One that is ejected, on
   // probation, unresponsive or not reachable does not.
--- a/src/policy/key_serializer.hpp
+++ b/src/policy/key_serializer.hpp
@@ -12,9 +12,9 @@
 namespace cairnjunction::policy {
 
 // Keeps a queue of requests (by slot in the RequestTable) for each key. A request stays in its queue until it
-// has ended and all its attempts are settled, and only the head may be sent: so two requests of a key are
-// never in flight at once, and they run in order. An attempt whose outcome is unknown may still be running,
-// so the key then has a cooldown.
+// has ended and none of its attempts is in flight, and only the head may be sent: so two requests of a key
+// are never in flight at once, and they run in order. An attempt whose outcome is unknown may still be
+// running, so the key then has a cooldown.
 class KeySerializer {
  public:
   // First request of a queue, and the earliest time of its first attempt.
--- a/src/policy/load_balancer_impl.cpp
+++ b/src/policy/load_balancer_impl.cpp
@@ -112,8 +112,8 @@
   if (endpoints_.isKnown(id)) {
     Endpoint& endpoint = endpoints_[id];
     if (reachability == Reachability::reachable) {
-      if (startedAfter > endpoint.restartedAfter) {
-        endpoint.restartedAfter = startedAfter;
+      if (startedAfter > endpoint.startedAfter) {
+        endpoint.startedAfter = startedAfter;
         resetStatistics(endpoint);
       }
       ConnectBackoff::allowNow(endpoint, now_);
@@ -184,7 +184,7 @@
   const ClassSettings& settings = classes_[request.classIndex].settings();
   double weight = settings.priorityWeight;
   if (now_ >= request.objectiveAt) weight *= settings.lateValueFraction;
-  if (!quota_.admit(tenantIndex, now_)) weight *= settings_.overQuotaWeightFactor;
+  if (!quota_.tryCharge(tenantIndex, now_)) weight *= settings_.overQuotaWeightFactor;
   return weight;
 }
 
@@ -199,7 +199,7 @@
   if (ahead > 0 && retryPolicy_.cannotFinishInTime(request, ahead, now_)) return rejectOrFail(request);
   const Duration typical = classes_[request.classIndex].typicalDuration(request.costRatio);
   timers_.schedule(request.deadline - settings_.eventInterval, request.ref, TimerKind::answerDeadline);
-  timers_.schedule(retryPolicy_.sendDeadline(request) - typical, request.ref, TimerKind::keyDispatch);
+  timers_.schedule(retryPolicy_.attemptDeadline(request) - typical, request.ref, TimerKind::keyDispatch);
   keys_.markChanged(*request.key);
 }
 
@@ -213,7 +213,7 @@
 
 // Sends an attempt if its answer can still have value and an endpoint may receive it; returns whether it did.
 bool LoadBalancer::Impl::trySend(ActiveRequest& request) {
-  const Timestamp deadline = retryPolicy_.sendDeadline(request);
+  const Timestamp deadline = retryPolicy_.attemptDeadline(request);
   if (deadline <= now_ || retryPolicy_.isExhausted(request)) return false;
   // During an overload, an attempt with less time than an answer typically takes is unlikely to succeed,
   // displaces others and adds to the overload. With spare capacity it may be sent.
@@ -247,11 +247,11 @@
   now_ = now;
   ActiveRequest* request = requests_.find(result.request);
   if (request && result.attempt < request->attemptCount && request->attempts[result.attempt].inFlight)
-    settle(*request, result);
+    finishAttempt(*request, result);
   finishEvent();
 }
 
-void LoadBalancer::Impl::settle(ActiveRequest& request, const AttemptResult& result) {
+void LoadBalancer::Impl::finishAttempt(ActiveRequest& request, const AttemptResult& result) {
   Attempt& attempt = request.attempts[result.attempt];
   Endpoint& endpoint = endpoints_[attempt.endpoint];
   attempt.inFlight = false;
@@ -269,7 +269,7 @@
     request.ended = true;
     cancelAttempts(request);
   }
-  if (request.ended) return closeIfSettled(request);
+  if (request.ended) return closeIfFinished(request);
   if (request.responseStarted || request.attemptsInFlight > 0) return;
   retryOrEnd(request, result);
 }
@@ -319,7 +319,7 @@
 void LoadBalancer::Impl::end(ActiveRequest& request) {
   request.ended = true;
   cancelAttempts(request);
-  closeIfSettled(request);
+  closeIfFinished(request);
 }
 
 void LoadBalancer::Impl::cancelAttempts(ActiveRequest& request, std::uint32_t except) {
@@ -332,7 +332,7 @@
   }
 }
 
-void LoadBalancer::Impl::closeIfSettled(ActiveRequest& request) {
+void LoadBalancer::Impl::closeIfFinished(ActiveRequest& request) {
   if (!request.ended || request.attemptsInFlight > 0) return;
   if (isSerialized(request)) keys_.remove(*request.key, request.ref.slot);
   requests_.close(request);
@@ -347,7 +347,7 @@
 
 void LoadBalancer::Impl::recordOutcome(Endpoint& endpoint, const ActiveRequest& request,
                                        const AttemptResult& result) {
-  if (recordLocalFailure(endpoint, result)) return;
+  if (recordExcludedFailure(endpoint, result)) return;
   ClassState& requestClass = classes_[request.classIndex];
   const double seconds =
       std::max(toSeconds(result.elapsed), 1e-6);  // zero would make the latency ratios meaningless
@@ -387,7 +387,7 @@
 // Returns whether the attempt was not executed for a known reason that is no evidence about the endpoint's
 // health. It then counts neither in the endpoint's statistics nor in the error rate: only the connect backoff
 // is updated.
-bool LoadBalancer::Impl::recordLocalFailure(Endpoint& endpoint, const AttemptResult& result) {
+bool LoadBalancer::Impl::recordExcludedFailure(Endpoint& endpoint, const AttemptResult& result) {
   if (result.outcome != Outcome::connectFailed || result.failureReason == FailureReason::unknown ||
       result.failureReason == FailureReason::connectTimeout)
     return false;
@@ -437,9 +437,9 @@
 
 void LoadBalancer::Impl::updateStatistics() {
   nextUpdate_ = now_ + kUpdateInterval;
-  idleEndpoints_.clear();
-  connections_.update(endpoints_, now_, idleEndpoints_);
-  for (const EndpointId id : idleEndpoints_) actions_.closeIdle(id);
+  endpointsWithUnusedConnections_.clear();
+  connections_.update(endpoints_, now_, endpointsWithUnusedConnections_);
+  for (const EndpointId id : endpointsWithUnusedConnections_) actions_.closeIdle(id);
   latency_.update(endpoints_, rates_);
   ResponsivenessMonitor::update(endpoints_, requests_, classes_.meanTypicalLatency(), now_);
   loadReports_.update(endpoints_);
--- a/src/policy/load_balancer_impl.hpp
+++ b/src/policy/load_balancer_impl.hpp
@@ -60,8 +60,8 @@
   void dispatchReadyKeys();
   void scheduleWake();
 
-  // Processing of a request. `settle` records the result of one attempt; `end` marks the request as answered;
-  // `closeIfSettled` releases it once no attempt is in flight.
+  // Processing of a request. `finishAttempt` records the result of one attempt; `end` marks the request as
+  // ended; `closeIfFinished` releases an ended request once no attempt is in flight.
 
   // Initializes the request from its arrival, and counts it in the statistics of its class.
   void initialize(ActiveRequest& request, const Request& arrival);
@@ -69,18 +69,18 @@
   void enqueueByKey(ActiveRequest& request);
   void dispatch(ActiveRequest& request);
   bool trySend(ActiveRequest& request);
-  void settle(ActiveRequest& request, const AttemptResult& result);
+  void finishAttempt(ActiveRequest& request, const AttemptResult& result);
   void retryOrEnd(ActiveRequest& request, const AttemptResult& result);
   void reject(const ActiveRequest& request);
   void rejectOrFail(ActiveRequest& request);
   void end(ActiveRequest& request);
   void cancelAttempts(ActiveRequest& request, std::uint32_t except = kNone);
-  void closeIfSettled(ActiveRequest& request);
+  void closeIfFinished(ActiveRequest& request);
   bool isSerialized(const ActiveRequest& request) const;
 
   // State of an endpoint.
   void recordOutcome(Endpoint& endpoint, const ActiveRequest& request, const AttemptResult& result);
-  bool recordLocalFailure(Endpoint& endpoint, const AttemptResult& result);
+  bool recordExcludedFailure(Endpoint& endpoint, const AttemptResult& result);
   void recordConnectionUse(Endpoint& endpoint, Attempt& attempt, const AttemptResult& result);
   void forgetIfUnused(EndpointId id);
   void resetStatistics(Endpoint& endpoint);
@@ -94,7 +94,8 @@
   Timestamp wakeAt_{};  // time of the last scheduleWake
   Random random_;
   ActionQueue actions_;
-  std::vector<EndpointId> idleEndpoints_;  // buffer of updateStatistics
+  // Those whose idle connections are to be closed. Used by updateStatistics; a member to reuse its memory.
+  std::vector<EndpointId> endpointsWithUnusedConnections_;
 
   TrafficRates rates_;
   ClassTable classes_;
--- a/src/policy/load_reports.cpp
+++ b/src/policy/load_reports.cpp
@@ -11,7 +11,7 @@
 constexpr double kOverloadedLoadFactor = 1.5;  // a load above this multiple of the median is too high
 constexpr double kOverloadExponent =
     0.5;  // a report of a load too high divides the weight by the excess to this power
-constexpr double kRecoveryFactor = 1.1;       // factor on the weight at each other report
+constexpr double kRecoveryFactor = 1.1;  // factor on the weight at a report of a load that is not too high
 constexpr double kMinSelectionWeight = 0.05;  // so that it still receives some requests
 constexpr double kMinListedWeight = 0.001;
 
--- a/src/policy/load_reports.hpp
+++ b/src/policy/load_reports.hpp
@@ -6,8 +6,8 @@
 namespace cairnjunction::policy {
 
 // Reports describe the load of some time ago. If all gateways avoided a loaded endpoint immediately, it would
-// become idle and have the lowest load in the next report, and so on. So each report changes its selection
-// weight only gradually.
+// become idle and have the lowest load in the next report, and so on. So a report changes the selection
+// weight of its endpoint only gradually.
 class LoadReports {
  public:
   // Updates the selection weight from the endpoint's listed weight. EndpointTable::upsert must have been
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -8,18 +8,18 @@
 namespace cairnjunction::policy {
 namespace {
 
-constexpr int kMinConsecutiveOverloads = 3;  // more than a short peak: the endpoint gets a pause
+constexpr int kMinConsecutiveOverloads = 3;                            // a short load peak causes fewer
 constexpr Duration kOverloadBackoff = std::chrono::milliseconds(100);  // a few times the latency without load
 constexpr double kFailureGain = 0.12;  // per outcome: five failures in a row raise the rate to about one half
 constexpr double kEjectFailureRate = 0.45;     // an endpoint with a higher rate is ejected,
 constexpr double kEjectFactorOverPeers = 2.5;  // if its rate also exceeds this multiple of the best quarter's
 constexpr double kRecoveredFailureRate = 0.05;  // below this rate the count of consecutive ejections is reset
-constexpr double kClassFailureRateGain =
+constexpr double kEndpointClassFailureGain =
     0.25;  // per outcome of a class: three failures in a row raise it above one half
 constexpr double kMaxEjectedFraction = 0.5;  // of the reachable endpoints
 constexpr Duration kInitialEjectionDuration =
-    std::chrono::seconds(1);              // doubled with each consecutive ejection
-constexpr int kMaxEjectionDoublings = 3;  // limit of the doublings
+    std::chrono::seconds(1);  // doubled with each consecutive ejection
+constexpr int kMaxEjectionDoublings = 3;
 
 bool isFailure(Outcome outcome) {
   return outcome == Outcome::timeout || outcome == Outcome::error || outcome == Outcome::connectFailed ||
@@ -51,7 +51,7 @@
   if (result.outcome != Outcome::connectFailed && !malformed) {
     const bool unsuccessful = failed || overloaded;
     double& classRate = record.classFailureRates[classIndex];
-    classRate += kClassFailureRateGain * ((unsuccessful ? 1.0 : 0.0) - classRate);
+    classRate += kEndpointClassFailureGain * ((unsuccessful ? 1.0 : 0.0) - classRate);
     classes_[classIndex].recordOutcome(unsuccessful);
   }
   if (record.state == EjectionState::probation && !overloaded) concludeProbation(endpoint, failed, now);
--- a/src/policy/outlier_detection.hpp
+++ b/src/policy/outlier_detection.hpp
@@ -21,7 +21,8 @@
       : endpoints_(endpoints), classes_(classes), random_(random), actions_(actions) {}
 
   // Records the outcome of an attempt. Must be called only for outcomes that are evidence about the endpoint:
-  // not for cancelled, notSent and invalidRequest, nor for failures of this gateway itself.
+  // not for cancelled, notSent and invalidRequest, nor for connectFailed with a known reason other than
+  // connectTimeout.
   void recordOutcome(Endpoint& endpoint, std::uint32_t classIndex, const AttemptResult& result,
                      Timestamp now);
   // Whether the endpoint answered `overloaded` so many times in a row that this indicates a fault of its own
--- a/src/policy/request_table.hpp
+++ b/src/policy/request_table.hpp
@@ -22,10 +22,10 @@
   bool mayHaveExecuted = false;  // until its result shows that it was not executed
   bool cancelled = false;        // an ActionKind::cancel was issued
   bool newConnection = false;    // no open connection had capacity for it
-  std::size_t idleStep = 0;      // idle time of its connection, see ConnectionAgeTracker; 0: new or in use
+  std::size_t idleStep = 0;      // see ConnectionAgeTracker::SendEffect
 };
 
-// A request from its arrival until it is answered and all its attempts are settled.
+// A request from its arrival until it has ended and none of its attempts is in flight.
 struct ActiveRequest {
   RequestId id = 0;
   RequestRef ref;                // its slot in the RequestTable
@@ -40,7 +40,7 @@
   bool responseStarted = false;  // the client has received part of an answer: no more attempts
   std::array<Attempt, kMaxAttemptsPerRequest> attempts;
   std::uint32_t attemptCount = 0;                      // number of entries of `attempts` in use
-  std::uint32_t attemptsInFlight = 0;                  // number of those that are not settled
+  std::uint32_t attemptsInFlight = 0;                  // number of those whose result is not known
   std::uint32_t maxAttempts = kMaxAttemptsPerRequest;  // limit set by the request itself
 
   // Whether any attempt so far may have been executed.
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -20,9 +20,9 @@
     const Attempt& attempt = request.attempts[i];
     if (!attempt.mayHaveExecuted) continue;
     if (settings.idempotency == Idempotency::unsafe) return false;
-    const EndpointInfo& first = endpoints_[attempt.endpoint].info;
-    if (settings.dedupScope != DedupScope::all && first.zone != endpoint.info.zone) return false;
-    if (settings.dedupScope == DedupScope::cell && first.cell != endpoint.info.cell) return false;
+    const EndpointInfo& earlier = endpoints_[attempt.endpoint].info;
+    if (settings.dedupScope != DedupScope::all && earlier.zone != endpoint.info.zone) return false;
+    if (settings.dedupScope == DedupScope::cell && earlier.cell != endpoint.info.cell) return false;
     if (now + 2 * settings_.eventInterval > attempt.sentAt + settings.dedupWindow) return false;
   }
   return true;
@@ -33,7 +33,7 @@
          std::min<std::size_t>({settings_.maxAttempts, request.maxAttempts, kMaxAttemptsPerRequest});
 }
 
-Timestamp RetryPolicy::sendDeadline(const ActiveRequest& request) const {
+Timestamp RetryPolicy::attemptDeadline(const ActiveRequest& request) const {
   const Timestamp reachesClient = request.deadline - 2 * settings_.eventInterval;
   if (classes_[request.classIndex].settings().lateValueFraction > 0) return reachesClient;
   return std::min(reachesClient, request.objectiveAt - 2 * settings_.eventInterval);
@@ -41,7 +41,7 @@
 
 bool RetryPolicy::cannotFinishInTime(const ActiveRequest& request, std::size_t ahead, Timestamp now) const {
   const Duration typical = classes_[request.classIndex].typicalDuration(request.costRatio);
-  return now + static_cast<Duration::rep>(ahead + 1) * typical >= sendDeadline(request);
+  return now + static_cast<Duration::rep>(ahead + 1) * typical >= attemptDeadline(request);
 }
 
 bool RetryPolicy::isSafeToReject(const ActiveRequest& request) const {
@@ -54,8 +54,8 @@
 
 Duration RetryPolicy::retryAfter(const ActiveRequest& request, Random& random) const {
   if (!settings_.retryAfterAllowed) return {};
-  const double share = std::max(1 - request.score / 100, kMinRetryAfterFraction);
-  return scaled(settings_.maxRetryAfter, share * (0.5 + 0.5 * random.unit()));
+  const double fraction = std::max(1 - request.score / 100, kMinRetryAfterFraction);
+  return scaled(settings_.maxRetryAfter, fraction * (0.5 + 0.5 * random.unit()));
 }
 
 RetryBudget::RetryBudget() : tokens_(kMaxSavedRetries) {}
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -26,11 +26,12 @@
   // Whether the request has used all its allowed attempts.
   bool isExhausted(const ActiveRequest& request) const;
 
-  // Latest time at which an answer can arrive here, still have value and reach the client in time.
-  Timestamp sendDeadline(const ActiveRequest& request) const;
+  // Latest time at which the answer to an attempt may arrive here: it then still has value and reaches the
+  // client in time.
+  Timestamp attemptDeadline(const ActiveRequest& request) const;
 
-  // Whether the request, with `ahead` requests of its key before it, would typically end after its send
-  // deadline.
+  // Whether the request, with `ahead` requests of its key before it, would typically end after its
+  // attempt deadline.
   bool cannotFinishInTime(const ActiveRequest& request, std::size_t ahead, Timestamp now) const;
 
   // Whether the request may be rejected, which tells the client that it can safely be repeated. If not, it
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -27,10 +27,10 @@
   const double window = std::max(toSeconds(settings_.collapseWindow), 0.1);
   // Used while no endpoint of the kind past slow start has been measured, e.g. after a start of this gateway:
   // an even part of the requests.
-  const double evenShare =
+  const double evenRate =
       rates_.requestRate() / static_cast<double>(std::max<std::size_t>(endpoints.subsetSize(), 1));
   const double peakAnswerRate = endpoints.kindOf(endpoint).peakAnswerRate;
-  const double sustainableRate = peakAnswerRate > 0 ? peakAnswerRate : evenShare;
+  const double sustainableRate = peakAnswerRate > 0 ? peakAnswerRate : evenRate;
   // Lower where requests are rare, because the picker then prefers endpoints in slow start.
   const double margin = kCollapseLoadFraction * (2 + rates_.sampleConfidence()) / 3;
   const double rate =
@@ -60,7 +60,7 @@
   const std::vector<EndpointId>& ordered = endpoints.ordered();
   for (std::size_t i = 0; i < ordered.size(); ++i) {
     Endpoint& endpoint = endpoints[ordered[i]];
-    // Endpoints outside the subset receive few requests, so their rates show nothing.
+    // Endpoints outside the subset receive few requests, so their rates do not show their capacity.
     if (i < endpoints.subsetSize() && !isActive(endpoint, now) && endpoint.countsTowardsPool()) {
       MachineKind& kind = endpoints.kindOf(endpoint);
       kind.answers += endpoint.latency.answers;
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -45,7 +45,7 @@
  private:
   // The latest known start of the endpoint's process; zero: long ago.
   static Timestamp startOf(const Endpoint& endpoint) {
-    return std::max(endpoint.info.startedAt, endpoint.restartedAfter);
+    return std::max(endpoint.info.startedAt, endpoint.startedAfter);
   }
   // Adds the tokens gained since the last refill; returns the tokens available.
   double refill(Endpoint& endpoint, const EndpointTable& endpoints, Timestamp now) const;
--- a/src/policy/tenant_quota.cpp
+++ b/src/policy/tenant_quota.cpp
@@ -22,7 +22,7 @@
   }
 }
 
-bool TenantQuota::admit(std::uint32_t tenantIndex, Timestamp now) {
+bool TenantQuota::tryCharge(std::uint32_t tenantIndex, Timestamp now) {
   if (tenantIndex >= tokens_.size() || settings_.tenants[tenantIndex].quotaPerSecond <= 0) return true;
   refill(now);
   if (tokens_[tenantIndex] < 1) return false;
--- a/src/policy/tenant_quota.hpp
+++ b/src/policy/tenant_quota.hpp
@@ -15,9 +15,9 @@
   // `settings` must outlive this object; `now` is the current time. Buckets start empty.
   TenantQuota(const Settings& settings, Timestamp now);
 
-  // Charges a request to its tenant's quota. Returns whether it is within the quota; true for an unknown
-  // tenant or one without a quota.
-  bool admit(std::uint32_t tenantIndex, Timestamp now);
+  // Returns whether a request is within its tenant's quota, and if so charges it. Always true for an unknown
+  // tenant and for one without a quota.
+  bool tryCharge(std::uint32_t tenantIndex, Timestamp now);
 
   // Must be called after the tenants in the settings have changed. Buckets keep their index; new ones start
   // empty.
--- a/tests/policy/action_queue_test.cpp
+++ b/tests/policy/action_queue_test.cpp
@@ -1,3 +1,4 @@
+// Tests the order and fields of actions, and the limit of log lines.
 #include "policy/action_queue.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -1,3 +1,4 @@
+// Tests the cutoff: in-flight overload, error overload and the bounds of the in-flight limit.
 #include "policy/admission.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/policy/class_state_test.cpp
+++ b/tests/policy/class_state_test.cpp
@@ -1,3 +1,4 @@
+// Tests the statistics of request classes, and which of them survive new settings.
 #include "policy/class_state.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/policy/connect_backoff_test.cpp
+++ b/tests/policy/connect_backoff_test.cpp
@@ -1,3 +1,4 @@
+// Tests when new connections may be opened after connection failures.
 #include "policy/connect_backoff.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/policy/connection_age_test.cpp
+++ b/tests/policy/connection_age_test.cpp
@@ -1,3 +1,4 @@
+// Tests the number of open connections, their idle timeout, and the detection of stale ones.
 #include "policy/connection_age.hpp"
 
 #include <gtest/gtest.h>
@@ -8,8 +9,8 @@
 namespace {
 
 struct ConnectionAge : ::testing::Test {
-  // Sends an attempt that ends immediately; its connection has been idle since the endpoint was last effect.
-  ConnectionAgeTracker::SendEffect sendAndSettle(Timestamp at, Outcome outcome) {
+  // Sends an attempt that ends immediately; its connection was idle since the last use of the endpoint.
+  ConnectionAgeTracker::SendEffect sendAndEnd(Timestamp at, Outcome outcome) {
     const ConnectionAgeTracker::SendEffect effect = tracker.recordSend(endpoint, at);
     tracker.recordOutcome(effect.idleStep, outcome);
     return effect;
@@ -23,18 +24,18 @@
 
 TEST_F(ConnectionAge, NewConnectionIsOpenedIfNoneHasCapacity) {
   EXPECT_FALSE(tracker.hasCapacity(endpoint, kStart));
-  EXPECT_TRUE(sendAndSettle(kStart, Outcome::served).newConnection);
+  EXPECT_TRUE(sendAndEnd(kStart, Outcome::served).newConnection);
   EXPECT_EQ(endpoint.connections.open, 1);
-  EXPECT_FALSE(sendAndSettle(kStart, Outcome::served).newConnection);
+  EXPECT_FALSE(sendAndEnd(kStart, Outcome::served).newConnection);
   endpoint.inFlight = 1;
-  EXPECT_TRUE(sendAndSettle(kStart, Outcome::served).newConnection);
+  EXPECT_TRUE(sendAndEnd(kStart, Outcome::served).newConnection);
   EXPECT_EQ(endpoint.connections.open, 2);
 }
 
 TEST_F(ConnectionAge, ReportedCountReplacesTheEstimate) {
   ConnectionAgeTracker::recordReported(endpoint, 3);
   endpoint.inFlight = 3;
-  sendAndSettle(kStart, Outcome::served);
+  sendAndEnd(kStart, Outcome::served);
   ConnectionAgeTracker::recordClosed(endpoint);
   ConnectionAgeTracker::reset(endpoint);
   EXPECT_EQ(endpoint.connections.open, 3);
@@ -42,7 +43,7 @@
 
 TEST_F(ConnectionAge, ConnectionsHaveNoCapacityAfterTheIdleTimeout) {
   pool.settings.idleTimeout = seconds(2);
-  sendAndSettle(kStart, Outcome::served);
+  sendAndEnd(kStart, Outcome::served);
   EXPECT_TRUE(tracker.hasCapacity(endpoint, kStart + seconds(1)));
   EXPECT_FALSE(tracker.hasCapacity(endpoint, kStart + seconds(2)));
 }
@@ -50,7 +51,7 @@
 // A firewall drops connections after a second without traffic and notifies neither end: attempts sent on such
 // a connection are lost.
 TEST_F(ConnectionAge, StaleConnectionsAreClosedInsteadOfUsed) {
-  sendAndSettle(now, Outcome::served);
+  sendAndEnd(now, Outcome::served);
   bool closed = false;
   for (int i = 0; i < 10 && !closed; ++i) {
     now += seconds(1);
--- a/tests/policy/driver.hpp
+++ b/tests/policy/driver.hpp
@@ -1,6 +1,5 @@
-// A test driver for the LoadBalancer: tests feed it events by hand, with a clock that they move themselves,
-// and look at the actions that come back. There is no model of an endpoint: each test reports the result of
-// each attempt.
+// A test driver for the LoadBalancer: tests report events to it, advance its clock and check the resulting
+// actions. There is no model of an endpoint: each test reports the result of each attempt.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -58,7 +57,7 @@
   return info;
 }
 
-// An attempt, as an ActionKind::send asked for it.
+// An attempt, as requested by an ActionKind::send.
 struct SentAttempt {
   RequestId request;
   std::uint32_t attempt;  // its number within the request, from 0
--- a/tests/policy/endpoint_list_poller_test.cpp
+++ b/tests/policy/endpoint_list_poller_test.cpp
@@ -1,3 +1,4 @@
+// Tests when discovery is polled.
 #include "policy/endpoint_list_poller.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/policy/endpoint_picker_test.cpp
+++ b/tests/policy/endpoint_picker_test.cpp
@@ -1,3 +1,4 @@
+// Tests which endpoints are candidates for an attempt, and the order of preference among them.
 #include "policy/endpoint_picker.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/policy/endpoint_table_test.cpp
+++ b/tests/policy/endpoint_table_test.cpp
@@ -1,3 +1,4 @@
+// Tests endpoint ids across lists, the subset of a gateway, and what counts towards the pool.
 #include "policy/endpoint_table.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/policy/hedging_test.cpp
+++ b/tests/policy/hedging_test.cpp
@@ -1,3 +1,4 @@
+// Tests which requests may be hedged, and after which delay.
 #include "policy/hedging.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/policy/key_serializer_test.cpp
+++ b/tests/policy/key_serializer_test.cpp
@@ -1,3 +1,4 @@
+// Tests the queue of each key, and its cooldown.
 #include "policy/key_serializer.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/policy/load_reports_test.cpp
+++ b/tests/policy/load_reports_test.cpp
@@ -1,3 +1,4 @@
+// Tests how reported loads change the selection weight.
 #include "policy/load_reports.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -1,3 +1,4 @@
+// Tests ejection, probation, the backoff of overloaded endpoints, and the class success weight.
 #include "policy/outlier_detection.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/policy/priority_score_test.cpp
+++ b/tests/policy/priority_score_test.cpp
@@ -1,3 +1,4 @@
+// Tests how priority weights are ranked within the recent traffic.
 #include "policy/priority_score.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/policy/random_test.cpp
+++ b/tests/policy/random_test.cpp
@@ -1,3 +1,4 @@
+// Tests the range of random draws, and that they depend on the seed alone.
 #include "policy/random.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/policy/relative_latency_test.cpp
+++ b/tests/policy/relative_latency_test.cpp
@@ -1,3 +1,4 @@
+// Tests the relative latency of endpoints with and without answers.
 #include "policy/relative_latency.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/policy/request_table_test.cpp
+++ b/tests/policy/request_table_test.cpp
@@ -1,3 +1,4 @@
+// Tests the lookup of open requests and of their attempts.
 #include "policy/request_table.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/policy/responsiveness_test.cpp
+++ b/tests/policy/responsiveness_test.cpp
@@ -1,3 +1,4 @@
+// Tests when an endpoint with attempts in flight is unresponsive.
 #include "policy/responsiveness.hpp"
 
 #include <gtest/gtest.h>
@@ -23,7 +24,7 @@
   EXPECT_FALSE(pool.endpoints[1].responsiveness.unresponsive) << "nothing was sent to it";
 }
 
-TEST(ResponsivenessMonitor, SettledAttemptsAreIgnored) {
+TEST(ResponsivenessMonitor, EndedAttemptsAreIgnored) {
   Pool pool(1);
   ActiveRequest& request = pool.open();
   pool.send(request, 0);
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -1,3 +1,4 @@
+// Tests which requests may be repeated, where, and until when; and the retry budget.
 #include "policy/retry_policy.hpp"
 
 #include <gtest/gtest.h>
@@ -61,13 +62,13 @@
   EXPECT_TRUE(policy.isExhausted(request));
 }
 
-TEST_F(Retry, SendDeadlineIsTheObjectiveUnlessLateAnswersHaveValue) {
+TEST_F(Retry, AttemptDeadlineIsTheObjectiveUnlessLateAnswersHaveValue) {
   const ActiveRequest& request = pool.open(kSafe);
-  EXPECT_EQ(policy.sendDeadline(request), kStart + milliseconds(390));
+  EXPECT_EQ(policy.attemptDeadline(request), kStart + milliseconds(390));
   ClassSettings late = pool.settings.classes[kSafe];
   late.lateValueFraction = 0.5;
   pool.classes[kSafe].setSettings(late);
-  EXPECT_EQ(policy.sendDeadline(request), kStart + milliseconds(990));
+  EXPECT_EQ(policy.attemptDeadline(request), kStart + milliseconds(990));
 }
 
 TEST_F(Retry, RequestsAheadOfTheSameKeyAddTheirTypicalLatency) {
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -593,7 +593,7 @@
       if (it->second.over && !hasInFlight) it = requests.erase(it);
       else ++it;
     }
-    balancer.onWake(now);  // after every event, since Settings::eventInterval bounds how late onWake() comes
+    balancer.onWake(now);  // after every event, since Settings::eventInterval bounds the delay of onWake()
     check();
     if (::testing::Test::HasFailure()) break;
   }
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,3 +1,4 @@
+// Tests the slow start fraction, and the token rate of endpoints in slow start.
 #include "policy/slow_start.hpp"
 
 #include <gtest/gtest.h>
@@ -27,7 +28,7 @@
 TEST(SlowStart, DetectedRestartOverridesTheListedStart) {
   Pool pool(1);
   const SlowStart slowStart(pool.settings, pool.rates);
-  pool.endpoints[0].restartedAfter = kStart;
+  pool.endpoints[0].startedAfter = kStart;
   EXPECT_TRUE(slowStart.isActive(pool.endpoints[0], kStart + seconds(1)));
 }
 
--- a/tests/policy/tenant_quota_test.cpp
+++ b/tests/policy/tenant_quota_test.cpp
@@ -1,3 +1,4 @@
+// Tests which requests are within their tenant's quota.
 #include "policy/tenant_quota.hpp"
 
 #include <gtest/gtest.h>
@@ -16,28 +17,28 @@
   return settings;
 }
 
-TEST(TenantQuota, GatewayAdmitsItsPartOfTheQuota) {
+TEST(TenantQuota, GatewayHasItsPartOfTheQuota) {
   const Settings settings = makeSettingsWithQuota(20);
   TenantQuota quota(settings, kStart);
-  int admitted = 0;
-  for (int i = 0; i < 1000; ++i) admitted += quota.admit(0, kStart + milliseconds(10) * i) ? 1 : 0;
-  EXPECT_NEAR(admitted, 100, 1) << "ten seconds at half of 20 a second";
+  int withinQuota = 0;
+  for (int i = 0; i < 1000; ++i) withinQuota += quota.tryCharge(0, kStart + milliseconds(10) * i) ? 1 : 0;
+  EXPECT_NEAR(withinQuota, 100, 1) << "ten seconds at half of 20 a second";
 }
 
 TEST(TenantQuota, BucketHoldsAtMostOneSecondOfTokens) {
   const Settings settings = makeSettingsWithQuota(20);
   TenantQuota quota(settings, kStart);
-  int admitted = 0;
-  for (int i = 0; i < 100; ++i) admitted += quota.admit(0, kStart + seconds(60)) ? 1 : 0;
-  EXPECT_EQ(admitted, 10);
+  int withinQuota = 0;
+  for (int i = 0; i < 100; ++i) withinQuota += quota.tryCharge(0, kStart + seconds(60)) ? 1 : 0;
+  EXPECT_EQ(withinQuota, 10);
 }
 
-TEST(TenantQuota, RequestsWithoutAQuotaAreAlwaysAdmitted) {
+TEST(TenantQuota, RequestsWithoutAQuotaAreNeverOverQuota) {
   const Settings settings = makeSettingsWithQuota(20);
   TenantQuota quota(settings, kStart);
   for (int i = 0; i < 100; ++i) {
-    EXPECT_TRUE(quota.admit(1, kStart));
-    EXPECT_TRUE(quota.admit(kNone, kStart));
+    EXPECT_TRUE(quota.tryCharge(1, kStart));
+    EXPECT_TRUE(quota.tryCharge(kNone, kStart));
   }
 }
 
--- a/tests/policy/timer_queue_test.cpp
+++ b/tests/policy/timer_queue_test.cpp
@@ -1,3 +1,4 @@
+// Tests the order of timers, and that those of ended requests are dropped.
 #include "policy/timer_queue.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/policy/traffic_rates_test.cpp
+++ b/tests/policy/traffic_rates_test.cpp
@@ -1,3 +1,4 @@
+// Tests the rates of requests and answers, and the sample confidence.
 #include "policy/traffic_rates.hpp"
 
 #include <gtest/gtest.h>
