--- a/src/core/attempt.hpp
+++ b/src/core/attempt.hpp
@@ -28,7 +28,7 @@
 struct AttemptTimeouts {
   AttemptTimeouts(policy::Duration responseWithin, policy::Duration writeWithin = policy::Duration::max())
       : response(responseWithin), write(writeWithin) {}
-  policy::Duration response;  // above 0; the attempt then ends with Outcome::timeout
+  policy::Duration response;  // above 0; when it expires, the attempt ends with Outcome::timeout
   // A request whose last byte is not written within this time is never completed, so it is not executed.
   // Duration::max(): no limit.
   policy::Duration write;
--- a/src/core/attempt_rules.cpp
+++ b/src/core/attempt_rules.cpp
@@ -7,7 +7,7 @@
 
 using policy::Outcome;
 
-// A repeat has to arrive at its endpoint within the dedup window: reserved for its transmission.
+// Reserved for the transmission of a repeat, which has to arrive at its endpoint within the dedup window.
 constexpr policy::Duration kRepeatMargin = std::chrono::milliseconds(5);
 
 }  // namespace
--- a/src/core/rate_limited_log.hpp
+++ b/src/core/rate_limited_log.hpp
@@ -1,4 +1,4 @@
-// Limits the rate of log lines, so that an event that affects all endpoints at once does not flood the log.
+// Limits log lines to 10 per second: an event that affects all endpoints at once must not flood the log.
 #pragma once
 
 #include <cstddef>
@@ -16,14 +16,14 @@
 
   explicit RateLimitedLog(Write write) : write_(std::move(write)) {}
 
-  // Writes the line, or drops it if the limit of the current interval is reached. The next line that is
-  // written states how many lines were dropped before it.
+  // Writes the line, or drops it if the limit is reached. The next line that is written states how many lines
+  // were dropped before it.
   void log(policy::Timestamp now, const std::string& line);
 
  private:
   Write write_;
   policy::Timestamp intervalStart_{};
-  int linesInInterval_ = 0;  // including dropped ones
+  int linesInInterval_ = 0;  // in the second from intervalStart_ on, including dropped ones
   std::size_t dropped_ = 0;  // since the last line that was written
 };
 
--- a/src/membership/endpoint_health.hpp
+++ b/src/membership/endpoint_health.hpp
@@ -73,10 +73,10 @@
   // the results. The delay is bounded by EndpointHealthSettings::delegationMaxDuration.
   void delegateProbing(policy::Timestamp now, policy::EndpointId endpoint, policy::Timestamp until);
   // Another gateway found that the endpoint accepts connections; `age` is the time since then. Ignored if
-  // this gateway has tried the endpoint more recently.
+  // this gateway has a probe pending, or has found the endpoint unreachable or ended a probe since then.
   void onRemoteProbeResult(policy::Timestamp now, policy::EndpointId endpoint, policy::Duration age);
-  // Offers the probes that are due to the load balancer. To be called about every 100 ms; calling it more
-  // often does no harm.
+  // Offers the probes that are due to the load balancer; the next attempt to each endpoint is its probe. To
+  // be called about every 100 ms; calling it more often does no harm.
   void onTick(policy::Timestamp now);
   // Discovery did not answer the requested resync; the next one may be requested sooner.
   void onResyncFailed(policy::Timestamp now) { staleness_.onResyncFailed(now); }
--- a/src/membership/list_staleness.hpp
+++ b/src/membership/list_staleness.hpp
@@ -47,7 +47,7 @@
   EndpointHealthSettings settings_;
   policy::Timestamp answeredAt_{};
   policy::Timestamp nextRequestAt_{};  // earliest time of the next request
-  int consecutiveRequests_ = 0;        // for the same contradiction; less those that failed
+  int consecutiveRequests_ = 0;        // resync requests for one contradiction, without failed ones
 };
 
 }  // namespace cairnjunction
--- a/src/membership/settings.hpp
+++ b/src/membership/settings.hpp
@@ -28,9 +28,9 @@
   int overloadedStreak = 8;
   policy::Duration overloadedDuration = std::chrono::milliseconds(500);
 
-  // Maximum time that another gateway's probes replace those of this gateway, counted from this gateway's
-  // last try. It bounds the harm done by a gateway that reports wrong results. `jitter` scales it by a factor
-  // from 0.5 to 1.
+  // Maximum time that another gateway's probes replace those of this gateway, counted from the time at
+  // which this gateway last found the endpoint unreachable or ended a probe. It bounds the harm done by a
+  // gateway that reports wrong results. `jitter` scales it by a factor from 0.5 to 1.
   policy::Duration delegationMaxDuration = std::chrono::seconds(10);
 
   // An endpoint contradicts the list once it has been unreachable for this long. `jitter` scales it by a
--- a/tests/membership/upstream_report_test.cpp
+++ b/tests/membership/upstream_report_test.cpp
@@ -33,7 +33,6 @@
   std::chrono::milliseconds quiet = 5ms;  // HTTP: time after an answer before the connection is reused
 
   // Creates the upstream; `connections` is the limit of all connections together.
-
   void create(std::size_t connections = 10, std::chrono::milliseconds connectTimeout = 60s) {
     const auto ended = [this](AttemptOutcome outcome) { outcomes.push_back(std::move(outcome)); };
     if (GetParam().jsonRpc) {
