--- a/src/app/coordinator_main.cpp
+++ b/src/app/coordinator_main.cpp
@@ -120,7 +120,7 @@
     raft.snapshotThreshold = options_.snapshotEvery;
     std::filesystem::create_directory(raft.folder);
     raftLog_ = std::make_unique<consensus::RaftLog>(io_, raft, machine_);
-    coordinator_.serve(*raftLog_);
+    coordinator_.startServing(*raftLog_);
     events_.write(fleet::Event::votingStarted, {{"starts", identity_.own().startCount}});
   }
 
--- a/src/app/fleet_endpoint_lists.cpp
+++ b/src/app/fleet_endpoint_lists.cpp
@@ -80,7 +80,7 @@
 void FleetEndpointLists::updateWatch() {
   if (pollsDiscovery()) {
     if (std::exchange(watching_, true)) return;
-    if (filter_.held()) discovery_.setKnownVersion(filter_.held()->version);
+    if (filter_.currentVersion()) discovery_.setKnownVersion(filter_.currentVersion()->version);
     return discovery_.watch();
   }
   if (const auto at = polling_.pollsAt()) {
@@ -149,7 +149,7 @@
 void FleetEndpointLists::fromDiscovery(const EndpointList& list) {
   failingSince_.reset();
   // An answer that only says that nothing has changed is not sent to the others.
-  const bool changed = !filter_.held() || list.full || !list.endpoints.empty();
+  const bool changed = !filter_.currentVersion() || list.full || !list.endpoints.empty();
   filter_.onOwnList(source_, list.version);
   merge(list);
   if (changed)
@@ -160,10 +160,10 @@
 
 // To all members, as lease holder. The list may also be one that the former holder has sent.
 void FleetEndpointLists::sendList() {
-  if (!holdsList() || !filter_.held()) return;
+  if (!holdsList() || !filter_.currentVersion()) return;
   json body = toJson(held_);
-  body["source"] = filter_.held()->source;
-  body["era"] = filter_.held()->epoch;
+  body["source"] = filter_.currentVersion()->source;
+  body["era"] = filter_.currentVersion()->epoch;
   if (member_->sendCommand(listKey(), body.dump(), true)) ++sentLists_;
 }
 
@@ -194,7 +194,7 @@
 
 void FleetEndpointLists::rejectList(const fleet::Command& command, const EndpointList& list) {
   ++rejectedLists_;
-  const std::int64_t heldVersion = filter_.held() ? filter_.held()->version : 0;
+  const std::int64_t heldVersion = filter_.currentVersion() ? filter_.currentVersion()->version : 0;
   log_.writeCommand(Event::listRejected, command.token, {{"version", list.version}, {"held", heldVersion}});
   polling_.onListRejected(bootTime(), member_->memberCount(), draw());
   updateWatch();
--- a/src/common/numeric.hpp
+++ b/src/common/numeric.hpp
@@ -27,17 +27,18 @@
   return bits ^ (bits >> 31U);
 }
 
-// FNV-1a followed by mix(). The same in every gateway.
+// FNV-1a followed by mix(). Every gateway computes the same value for a text.
 inline std::uint64_t hashText(std::string_view text) {
   std::uint64_t hash = 0xcbf29ce484222325ULL;
   for (const char each : text) hash = (hash ^ static_cast<unsigned char>(each)) * 0x100000001b3ULL;
   return mix(hash);
 }
 
-// The quantile `at`, from 0 to 1, of the values; `none` if there are none. Reorders the values.
-inline double quantile(std::vector<double>& values, double at, double none) {
-  if (values.empty()) return none;
-  const auto nth = values.begin() + static_cast<std::ptrdiff_t>(at * static_cast<double>(values.size() - 1));
+// The quantile of the values at `fraction`, from 0 to 1; `ifEmpty` without values. Reorders the values.
+inline double quantile(std::vector<double>& values, double fraction, double ifEmpty) {
+  if (values.empty()) return ifEmpty;
+  const auto nth =
+      values.begin() + static_cast<std::ptrdiff_t>(fraction * static_cast<double>(values.size() - 1));
   std::nth_element(values.begin(), nth, values.end());
   return *nth;
 }
--- a/src/fleet/admin_socket.cpp
+++ b/src/fleet/admin_socket.cpp
@@ -81,9 +81,9 @@
       lifetime_.guard([this, client](error_code error, std::size_t size) {
         if (error) return;
         const json request = json::parse(client->buffer.substr(0, size), nullptr, false);
-        const json answer =
+        const json response =
             request.is_object() ? handler_(request) : json{{"error", "expected a JSON object"}};
-        client->buffer = answer.dump() + "\n";
+        client->buffer = response.dump() + "\n";
         boost::asio::async_write(client->socket, boost::asio::buffer(client->buffer),
                                  [client](error_code, std::size_t) {});
       }));
@@ -96,14 +96,14 @@
   socket.connect(stream_protocol::endpoint(path), error);
   if (error) throw std::runtime_error(path + ": " + error.message());
   boost::asio::write(socket, boost::asio::buffer(request.dump() + "\n"), error);
-  std::string response;
-  if (!error) boost::asio::read_until(socket, boost::asio::dynamic_buffer(response), '\n', error);
-  json answer = json::parse(response, nullptr, false);
-  if (error || answer.is_discarded())
+  std::string line;
+  if (!error) boost::asio::read_until(socket, boost::asio::dynamic_buffer(line), '\n', error);
+  json response = json::parse(line, nullptr, false);
+  if (error || response.is_discarded())
     throw std::runtime_error(path + ": no answer" + (error ? ": " + error.message() : std::string()) +
                              " (only the coordinator's user and root may connect)");
-  if (answer.contains("error")) throw std::runtime_error(answer["error"].get<std::string>());
-  return answer;
+  if (response.contains("error")) throw std::runtime_error(response["error"].get<std::string>());
+  return response;
 }
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/admin_socket.hpp
+++ b/src/fleet/admin_socket.hpp
@@ -19,7 +19,6 @@
   static constexpr std::size_t kMaxRequestBytes = 4096;
   static constexpr std::size_t kMaxClients = 8;  // concurrent; further clients are disconnected
   // From accepting a client to closing its connection.
-
   static constexpr std::chrono::seconds kClientTimeout{5};
 
   // Receives the request, a JSON object, and returns the response, an object or array. Must not throw.
--- a/src/fleet/command_receiver.cpp
+++ b/src/fleet/command_receiver.cpp
@@ -13,7 +13,7 @@
   // Without stored marks the gate accepts nothing until raiseMarks() is called with the leader's marks.
   if (const std::optional<FencingMarks> stored = file_.read()) {
     for (const auto& [key, mark] : *stored) durableMarks_[key] = mark.withoutLastCommand();
-    gate_.learn(durableMarks_);
+    gate_.raiseMarks(durableMarks_);
     storedMarkCount_ = durableMarks_.size();
   }
   if (file_.isEnabled()) diskThread_ = std::make_unique<boost::asio::thread_pool>(1);
@@ -71,7 +71,7 @@
   // The last command of a key is sent again whenever this member joins, so it is not logged.
   if (known && mark->second.epoch == token.epoch && mark->second.sequence == token.sequence) return;
   const bool hasCapacity = loggedRejectionEpochs_.contains(token.key) ||
-                           loggedRejectionEpochs_.size() < lease::FencingGate::kKeysMost;
+                           loggedRejectionEpochs_.size() < lease::FencingGate::kMaxKeys;
   if (!hasCapacity || std::exchange(loggedRejectionEpochs_[token.key], token.epoch) == token.epoch) return;
   log_.writeCommand(Event::commandRejected, token,
                     {{"why", lease::nameOf(result)}, {"seen_epoch", known ? mark->second.epoch : 0}});
--- a/src/fleet/command_receiver.hpp
+++ b/src/fleet/command_receiver.hpp
@@ -37,7 +37,7 @@
 
   // Raises the fencing marks to those in the leader's JoinResponse. Until this is called or stored marks were
   // read, every command is rejected.
-  void raiseMarks(const FencingMarks& marks) { gate_.learn(marks); }
+  void raiseMarks(const FencingMarks& marks) { gate_.raiseMarks(marks); }
   // Handles a command from a link: applies it, or logs why the fencing gate rejects it.
   void receive(const Command& command);
   // Passes one of this member's own commands through the gate before it is sent. Returns false if the gate
--- a/src/fleet/coordinator.cpp
+++ b/src/fleet/coordinator.cpp
@@ -40,7 +40,7 @@
 
 Coordinator::~Coordinator() { connections_.abandonAll(); }
 
-void Coordinator::serve(consensus::ReplicatedLog& log) {
+void Coordinator::startServing(consensus::ReplicatedLog& log) {
   log_.attach(log);
   log.onLeadershipChange(lifetime_.guard([this] { onLeadershipChange(); }));
   log.onPauseChange(lifetime_.guard([this] { onPauseChange(); }));
@@ -95,8 +95,8 @@
 
 void Coordinator::addConnection(tcp::socket socket) {
   const auto connection = std::make_shared<PeerConnection>();
-  const std::weak_ptr<PeerConnection> weak =
-      connection;  // the connection owns the link, which owns the callbacks
+  // Weak, because the connection owns the link, which owns the callbacks.
+  const std::weak_ptr<PeerConnection> weak = connection;
   Link::Limits limits;
   limits.receiveTimeout = settings_.isolatedAfter;
   connection->link = Link::accepted(io_, std::move(socket), limits,
@@ -118,7 +118,7 @@
         if constexpr (isOneOf<T, JoinRequest, VoterHandshakeRequest>) {
           handle(connection, typed);
         } else if constexpr (isOneOf<T, Heartbeat, ReleaseLease, Command, Leave>) {
-          // Otherwise the member sent it before it received the rejection; it is ignored.
+          // A peer that has not joined sent it before the rejection arrived there; it is ignored.
           if (connection->joined) handle(connection, typed);
         } else {
           reject(connection, "a keeper's word from a member");
@@ -151,7 +151,7 @@
   std::string rejection;
   try {
     rejection = consensus::rejectionText(identity_.checkPeer(request.number, request.mark));
-  } catch (const consensus::LogError& error) {  // its mark can't be stored now: it retries
+  } catch (const consensus::LogError& error) {  // the peer's mark can't be stored now: the peer retries
     return reject(connection, error.what());
   }
   events_.write(rejection.empty() ? Event::voterAccepted : Event::voterRejected,
@@ -201,7 +201,7 @@
   JoinResponse response{number_, connections_.memberCount(), {}};
   // The last command that each lease holder reported may not have reached this member, so it must still be
   // accepted.
-  for (const auto& [key, record] : log_.table().holdings())
+  for (const auto& [key, record] : log_.table().records())
     response.marks[key] =
         lease::FencingGate::FencingMark{record.epoch, record.sequence, {}}.withoutLastCommand();
   connection->link->send(response);
--- a/src/fleet/coordinator.hpp
+++ b/src/fleet/coordinator.hpp
@@ -34,9 +34,9 @@
   Coordinator(const Coordinator&) = delete;
   Coordinator& operator=(const Coordinator&) = delete;
 
-  // Serves members from now on whenever `log` is the leader. `log` must outlive this object, or stop() must
-  // be called before `log` is destroyed.
-  void serve(consensus::ReplicatedLog& log);
+  // Serves members from now on, whenever `log` says that this coordinator is the leader. `log` must outlive
+  // this object, or stop() must be called before `log` is destroyed.
+  void startServing(consensus::ReplicatedLog& log);
   // Stops accepting connections, and ends all links with NotLeader so that members look for the next leader.
   void stop();
 
@@ -80,7 +80,7 @@
   LeaseRenewal renewal_;
   LeaseGranting granting_;
   RetainedCommands retainedCommands_;  // empty unless this coordinator leads
-  bool actingAsLeader_ = false;        // at the last onLeadershipChange()
+  bool actingAsLeader_ = false;        // isLeader() at the last onLeadershipChange()
   bool stopping_ = false;              // stop() was called
   std::uint64_t forwardedCommands_ = 0;
   std::uint64_t rejectedPeers_ = 0;
--- a/src/fleet/coordinator_connection.hpp
+++ b/src/fleet/coordinator_connection.hpp
@@ -24,8 +24,8 @@
   struct Callbacks {
     std::function<JoinRequest()> makeJoinRequest;  // called when a link is connected
     std::function<void(const JoinResponse&)> onJoin;
-    std::function<void(const Message&)>
-        onMessage;                // any other message that a leader sends to a joined member
+    // Any other message that a leader sends to a joined member.
+    std::function<void(const Message&)> onMessage;
     std::function<void()> onEnd;  // a link has ended, joined or not; the next dial is scheduled
   };
 
@@ -57,11 +57,11 @@
   const Settings settings_;
   EventLog& log_;
   Callbacks callbacks_;
-  std::shared_ptr<Link> link_;  // null between links
-  boost::asio::steady_timer dialTimer_;
+  std::shared_ptr<Link> link_;           // null between links
+  boost::asio::steady_timer dialTimer_;  // runs between links, until the next dial
   DialBackoff backoff_;
   std::mt19937_64 random_;
-  std::size_t nextIndex_ = 0;  // index in settings_.coordinators, modulo its size
+  std::size_t nextIndex_ = 0;  // of the coordinator to dial next, in settings_.coordinators, modulo its size
   int coordinatorNumber_ = 0;  // number of the coordinator of the current or last link
   int leaderHint_ = 0;         // number of the leader according to NotLeader; 0 if unknown
   bool joined_ = false;        // false between links
--- a/src/fleet/coordinator_status.cpp
+++ b/src/fleet/coordinator_status.cpp
@@ -15,7 +15,7 @@
     members.push_back({{"name", connection->member.name},
                        {"zone", connection->zone},
                        {"willing", connection->eligible},
-                       {"owns", log.table().held(connection->member, log.now())},
+                       {"owns", log.table().countHeldBy(connection->member, log.now())},
                        {"bytes_in", connection->link->bytesIn()},
                        {"bytes_out", connection->link->bytesOut()}});
   json fields = {{"fleet", status.fleet},
@@ -34,8 +34,8 @@
 json leasesJson(const LeaseLog& log) {
   json rows = json::array();
   const lease::LogTime now = log.isLeader() ? log.now() : log.table().now();
-  for (const auto& [key, record] : log.table().holdings()) {
-    const bool held = record.heldAt(now);
+  for (const auto& [key, record] : log.table().records()) {
+    const bool held = record.isHeldAt(now);
     json row = fieldsOf(key);
     row.update({{"owner", held ? json(record.holder.name) : json(nullptr)},
                 {"epoch", record.epoch},
--- a/src/fleet/endpoint_list_filter.cpp
+++ b/src/fleet/endpoint_list_filter.cpp
@@ -11,17 +11,17 @@
       std::find(formerSources_.begin(), formerSources_.end(), version.source) != formerSources_.end();
   if (former) return false;
   const bool older =
-      held_ && std::tie(version.epoch, version.version) < std::tie(held_->epoch, held_->version);
+      current_ && std::tie(version.epoch, version.version) < std::tie(current_->epoch, current_->version);
   if (older) return false;
-  held_ = version;
+  current_ = version;
   return true;
 }
 
 void EndpointListFilter::onOwnList(const std::string& source, std::int64_t version) {
-  const std::uint64_t epoch = held_ ? held_->epoch : 0;
-  const bool numberingRestarted = held_ && version < held_->version;
+  const std::uint64_t epoch = current_ ? current_->epoch : 0;
+  const bool numberingRestarted = current_ && version < current_->version;
   const bool newEpoch = std::exchange(sourceChanged_, false) || numberingRestarted;
-  held_ = EndpointListVersion{source, newEpoch ? epoch + 1 : epoch, version};
+  current_ = EndpointListVersion{source, newEpoch ? epoch + 1 : epoch, version};
 }
 
 void EndpointListFilter::onSourceChange(const std::string& from, const std::string& to) {
@@ -29,7 +29,7 @@
   std::erase(formerSources_, to);
   formerSources_.push_back(from);
   if (formerSources_.size() > kMaxFormerSources) formerSources_.erase(formerSources_.begin());
-  sourceChanged_ = held_.has_value();
+  sourceChanged_ = current_.has_value();
 }
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/endpoint_list_filter.hpp
+++ b/src/fleet/endpoint_list_filter.hpp
@@ -34,12 +34,12 @@
   void onSourceChange(const std::string& from, const std::string& to);
 
   // Version of the current list, the last accepted one; empty before the first.
-  const std::optional<EndpointListVersion>& held() const { return held_; }
+  const std::optional<EndpointListVersion>& currentVersion() const { return current_; }
 
  private:
-  std::vector<std::string>
-      formerSources_;  // oldest first, at most kMaxFormerSources; excludes the current one
-  std::optional<EndpointListVersion> held_;
+  // Oldest first, at most kMaxFormerSources; excludes the current one.
+  std::vector<std::string> formerSources_;
+  std::optional<EndpointListVersion> current_;
   bool sourceChanged_ = false;  // since the last own list; the next own list begins an epoch
 };
 
--- a/src/fleet/event_names.hpp
+++ b/src/fleet/event_names.hpp
@@ -9,13 +9,13 @@
 
 enum class Event : std::uint8_t {
   // Logged by members:
-  started,            // the process started; has its incarnation
+  started,            // the process started; the line has its incarnation
   joined,             // a leader admitted the member
-  linkEnded,          // the link to a coordinator ended; has how
+  linkEnded,          // the link to a coordinator ended; the line has the LinkEnd
   isolated,           // no contact with a leader for Settings::isolatedAfter
   isolationEnded,     // a leader responds again
-  leaseAcquired,      // the member holds a lease from now on; has the epoch
-  leaseEnded,         // the member no longer holds a lease; has the reason
+  leaseAcquired,      // the member holds a lease from now on; the line has the epoch
+  leaseEnded,         // the member no longer holds a lease; the line has the reason
   commandSent,        // the member sent a command as lease holder
   commandApplied,     // a command passed the fencing gate and is applied
   commandNotApplied,  // the command's fencing mark could not be written to the disk
@@ -34,12 +34,12 @@
   leaseReleased,
   votingPaused,  // the voter's disk fails or has fallen far behind
   votingResumed,
-  joinRejected,       // a member or coordinator was rejected; has the reason
-  voterAccepted,      // another coordinator's handshake was accepted: it may vote
-  voterRejected,      // another coordinator's handshake was rejected: it must not vote
-  handshakeRejected,  // this coordinator's handshake failed at a peer: either one rejected the other, or the
-                      // peer's mark could not
-                      // be stored
+  joinRejected,   // a member or coordinator was rejected; the line has the reason
+  voterAccepted,  // another coordinator's handshake was accepted: it may vote
+  voterRejected,  // another coordinator's handshake was rejected: it must not vote
+  // This coordinator's handshake failed: it or the peer rejected the other, or the peer's mark could not be
+  // stored.
+  handshakeRejected,
   votingStarted
 };
 
--- a/src/fleet/fallback_polling.hpp
+++ b/src/fleet/fallback_polling.hpp
@@ -19,7 +19,7 @@
   // `holdsLease`: whether this member holds a lease whose holder polls discovery.
   void onLeaseChange(bool holdsLease) { holdsLease_ = holdsLease; }
   // Schedules polling, or cancels it. `members`: size of the fleet. `hasList`: whether the member has an
-  // endpoint list. `draw`: uniform random number from 0 to 1, drawn by each member.
+  // endpoint list. `draw`: uniform random number from 0 to 1; each member draws its own.
   void onIsolationChange(bool isolated, lease::BootTime now, std::uint32_t members, bool hasList,
                          double draw);
   // A list from the lease holder was older than the current one, so this member is not sent newer ones: it
--- a/src/fleet/fencing_file.hpp
+++ b/src/fleet/fencing_file.hpp
@@ -13,7 +13,7 @@
  public:
   enum class WriteResult : std::uint8_t {
     durable,  // the marks are on the disk, or storage is disabled
-    failed    // the marks may not be on the disk: the command that moved them must not be applied
+    failed    // the marks may not be on the disk: the command that raised a mark must not be applied
   };
 
   // An empty `folder` disables storage.
--- a/src/fleet/frame.cpp
+++ b/src/fleet/frame.cpp
@@ -18,16 +18,19 @@
                                          kMaxFrameBytes, 0, kMaxDepth);
 
 // Conversion of each message to a tuple of plain values (`toRow`) and back (`setFromRow`). The order of the
-// values is the order on the wire.
-using MarkRow = std::tuple<std::string, std::uint32_t, Epoch, Sequence>;
+// values is the order on the wire. Times and durations are in milliseconds.
+// Task, shard, epoch, sequence.
+using KeyRow = std::tuple<std::string, std::uint32_t, Epoch, Sequence>;
+// Task, shard, epoch, sequence, when the heartbeat was sent, lease duration.
 using GrantRow = std::tuple<std::string, std::uint32_t, Epoch, Sequence, std::int64_t, std::int64_t>;
-using LostRow = std::tuple<std::string, std::uint32_t, Epoch>;
+// Task, shard, epoch.
+using KeyEpochRow = std::tuple<std::string, std::uint32_t, Epoch>;
 using JoinRequestRow = std::tuple<int, std::string, std::string, lease::Incarnation, std::string, bool>;
 using VoterHandshakeRequestRow = std::tuple<int, std::string, int, std::uint64_t, std::uint64_t>;
 using VoterHandshakeResponseRow = std::tuple<int, std::uint64_t, std::uint64_t, std::string>;
-using JoinResponseRow = std::tuple<int, std::uint32_t, std::vector<MarkRow>>;
-using HeartbeatRow = std::tuple<std::int64_t, std::vector<MarkRow>>;
-using HeartbeatResponseRow = std::tuple<std::uint32_t, std::vector<GrantRow>, std::vector<LostRow>>;
+using JoinResponseRow = std::tuple<int, std::uint32_t, std::vector<KeyRow>>;
+using HeartbeatRow = std::tuple<std::int64_t, std::vector<KeyRow>>;
+using HeartbeatResponseRow = std::tuple<std::uint32_t, std::vector<GrantRow>, std::vector<KeyEpochRow>>;
 using ReleaseLeaseRow = std::tuple<std::string, std::uint32_t, Epoch, bool>;
 using CommandRow = std::tuple<std::string, std::uint32_t, Epoch, Sequence, std::string, lease::Incarnation,
                               bool, std::string>;
@@ -58,14 +61,14 @@
 }
 
 JoinResponseRow toRow(const JoinResponse& message) {
-  std::vector<MarkRow> marks;
+  std::vector<KeyRow> marks;
   marks.reserve(message.marks.size());
   for (const auto& [key, mark] : message.marks)
     marks.emplace_back(key.task, key.shard, mark.epoch, mark.sequence);
   return {message.coordinator, message.members, std::move(marks)};
 }
 void setFromRow(JoinResponse& message, JoinResponseRow row) {
-  std::vector<MarkRow> marks;
+  std::vector<KeyRow> marks;
   std::tie(message.coordinator, message.members, marks) = std::move(row);
   for (auto& [task, shard, epoch, sequence] : marks)
     message.marks[{std::move(task), shard}] = {epoch, sequence, {}};
@@ -80,7 +83,7 @@
 }
 
 HeartbeatRow toRow(const Heartbeat& message) {
-  std::vector<MarkRow> held;
+  std::vector<KeyRow> held;
   held.reserve(message.held.size());
   for (const auto& lease : message.held)
     held.emplace_back(lease.key.task, lease.key.shard, lease.epoch, lease.sequence);
@@ -88,7 +91,7 @@
 }
 void setFromRow(Heartbeat& message, HeartbeatRow row) {
   std::int64_t sentAt = 0;
-  std::vector<MarkRow> held;
+  std::vector<KeyRow> held;
   std::tie(sentAt, held) = std::move(row);
   message.sentAt = lease::BootTime(lease::Duration(sentAt));
   for (auto& [task, shard, epoch, sequence] : held)
@@ -100,21 +103,21 @@
   granted.reserve(message.granted.size());
   for (const LeaseGrant& grant : message.granted)
     granted.emplace_back(grant.key.task, grant.key.shard, grant.epoch, grant.sequence,
-                         grant.askedAt.time_since_epoch().count(), grant.leaseDuration.count());
-  std::vector<LostRow> lost;
+                         grant.heartbeatSentAt.time_since_epoch().count(), grant.leaseDuration.count());
+  std::vector<KeyEpochRow> lost;
   lost.reserve(message.lost.size());
   for (const LostLease& lease : message.lost) lost.emplace_back(lease.key.task, lease.key.shard, lease.epoch);
   return {message.members, std::move(granted), std::move(lost)};
 }
 void setFromRow(HeartbeatResponse& message, HeartbeatResponseRow row) {
   std::vector<GrantRow> granted;
-  std::vector<LostRow> lost;
+  std::vector<KeyEpochRow> lost;
   std::tie(message.members, granted, lost) = std::move(row);
-  for (auto& [task, shard, epoch, sequence, askedAt, leaseDuration] : granted)
+  for (auto& [task, shard, epoch, sequence, heartbeatSentAt, leaseDuration] : granted)
     message.granted.push_back({{std::move(task), shard},
                                epoch,
                                sequence,
-                               lease::BootTime(lease::Duration(askedAt)),
+                               lease::BootTime(lease::Duration(heartbeatSentAt)),
                                lease::Duration(leaseDuration)});
   for (auto& [task, shard, epoch] : lost)
     message.lost.push_back(LostLease{LeaseKey{std::move(task), shard}, epoch});
@@ -127,8 +130,10 @@
   std::tie(message.key.task, message.key.shard, message.epoch, message.failed) = std::move(row);
 }
 
-LostRow toRow(const TransferLease& message) { return {message.key.task, message.key.shard, message.epoch}; }
-void setFromRow(TransferLease& message, LostRow row) {
+KeyEpochRow toRow(const TransferLease& message) {
+  return {message.key.task, message.key.shard, message.epoch};
+}
+void setFromRow(TransferLease& message, KeyEpochRow row) {
   std::tie(message.key.task, message.key.shard, message.epoch) = std::move(row);
 }
 
--- a/src/fleet/held_leases.cpp
+++ b/src/fleet/held_leases.cpp
@@ -24,7 +24,7 @@
 void HeldLeases::onGrant(const LeaseGrant& grant, BootTime now) {
   HeldLease& lease = leases_[grant.key];
   const Epoch formerEpoch = lease.epoch();
-  lease.granted(grant.epoch, grant.sequence, grant.askedAt, grant.leaseDuration);
+  lease.recordGrant(grant.epoch, grant.sequence, grant.heartbeatSentAt, grant.leaseDuration);
   if (!lease.isValid(now) || lease.epoch() != grant.epoch) return;
   const std::optional<Epoch> active = activeEpoch(grant.key);
   if (active && *active != grant.epoch) endLease(grant.key, *active, LeaseEndReason::superseded);
@@ -70,8 +70,8 @@
   return leases_[key].nextToken(key, self, now);
 }
 
-std::vector<lease::LeasesRenewed::Held> HeldLeases::leasesToRenew(BootTime now) const {
-  std::vector<lease::LeasesRenewed::Held> valid;
+std::vector<lease::LeasesRenewed::HeldKey> HeldLeases::leasesToRenew(BootTime now) const {
+  std::vector<lease::LeasesRenewed::HeldKey> valid;
   for (const auto& [key, lease] : leases_)
     if (lease.isValid(now)) valid.push_back({key, lease.epoch(), lease.sequence()});
   return valid;
@@ -80,7 +80,7 @@
 std::optional<BootTime> HeldLeases::nextExpiry() const {
   std::optional<BootTime> next;
   for (const auto& [key, epoch] : active_) {
-    const BootTime expiry = leases_.at(key).until();
+    const BootTime expiry = leases_.at(key).validUntil();
     next = next ? std::min(*next, expiry) : expiry;
   }
   return next;
--- a/src/fleet/held_leases.hpp
+++ b/src/fleet/held_leases.hpp
@@ -52,7 +52,7 @@
   std::optional<lease::FencingToken> nextToken(const lease::LeaseKey& key, const lease::Member& self,
                                                lease::BootTime now);
   // The valid leases, which the next heartbeat asks to renew.
-  std::vector<lease::LeasesRenewed::Held> leasesToRenew(lease::BootTime now) const;
+  std::vector<lease::LeasesRenewed::HeldKey> leasesToRenew(lease::BootTime now) const;
   // When the first held lease expires; empty if none is held.
   std::optional<lease::BootTime> nextExpiry() const;
 
--- a/src/fleet/isolation_monitor.hpp
+++ b/src/fleet/isolation_monitor.hpp
@@ -28,8 +28,8 @@
   const std::chrono::milliseconds timeout_;
   std::function<void(bool)> onChange_;
   boost::asio::steady_timer timer_;
-  lease::BootTime
-      lastContactAt_;  // time of the last response or of construction; while isolated, of the last check
+  // Time of the last response or of construction; while isolated, of the last check.
+  lease::BootTime lastContactAt_;
   bool isolated_ = false;
   CallbackGuard lifetime_;
 };
--- a/src/fleet/lease_granting.cpp
+++ b/src/fleet/lease_granting.cpp
@@ -52,14 +52,14 @@
   // The lease is measured from a heartbeat that arrived before the log's time of the grant is read. If it
   // were measured from a heartbeat that arrives while the entry is written, the member's lease would end
   // later than the log's, and two members could hold it for a moment.
-  const lease::BootTime askedAt = *connection->lastHeartbeat;
+  const lease::BootTime heartbeatSentAt = *connection->lastHeartbeat;
   const LeaseChangeReason reason = vacancyReason(grant.key);
-  log_.propose(
-      grant, lifetime_.guard([this, grant, connection, askedAt, reason](const lease::ApplyResult& result) {
-        pending_.erase(grant.key);
-        if (result.held.empty()) return;
-        onGranted(connection, {grant.key, result.held[0].epoch, 0, askedAt, grant.leaseDuration}, reason);
-      }));
+  log_.propose(grant, lifetime_.guard([this, grant, connection, heartbeatSentAt,
+                                       reason](const lease::ApplyResult& result) {
+    pending_.erase(grant.key);
+    if (result.held.empty()) return;
+    onGranted(connection, {grant.key, result.held[0].epoch, 0, heartbeatSentAt, grant.leaseDuration}, reason);
+  }));
 }
 
 void LeaseGranting::onGranted(const PeerConnectionPtr& connection, const LeaseGrant& grant,
@@ -88,7 +88,7 @@
   std::size_t minHeld = 0;
   for (const auto& [name, connection] : connections_.members()) {
     if (!connection->canReceiveLeases()) continue;
-    const std::size_t held = log_.table().held(connection->member, log_.now());
+    const std::size_t held = log_.table().countHeldBy(connection->member, log_.now());
     if (!busiest || held < minHeld) minHeld = held;
     if (!busiest || held > maxHeld) {
       busiest = connection;
@@ -99,11 +99,11 @@
 }
 
 void LeaseGranting::requestTransferFrom(const PeerConnection& connection) {
-  for (const auto& [key, record] : log_.table().holdings()) {
+  for (const auto& [key, record] : log_.table().records()) {
     const lease::TaskSpec* spec = settings_.taskSpec(key.task);
     // The lease of a task with a single shard is not moved: that would not improve the balance.
     const bool sharded = spec != nullptr && spec->shards > 1;
-    if (record.holder != connection.member || !record.heldAt(log_.now()) || !sharded) continue;
+    if (record.holder != connection.member || !record.isHeldAt(log_.now()) || !sharded) continue;
     connection.link->send(TransferLease{key, record.epoch});
     return;
   }
@@ -112,7 +112,7 @@
 TransferResult LeaseGranting::transfer(const LeaseKey& key) {
   if (!log_.isLeader()) return TransferResult::notLeader;
   const lease::LeaseRecord* record = log_.table().find(key);
-  if (!record || !record->heldAt(log_.now())) return TransferResult::notHeld;
+  if (!record || !record->isHeldAt(log_.now())) return TransferResult::notHeld;
   const PeerConnectionPtr connection = connections_.findJoined(record->holder);
   if (!connection) return TransferResult::holderNotConnected;
   connection->link->send(TransferLease{key, record->epoch});
--- a/src/fleet/lease_log.hpp
+++ b/src/fleet/lease_log.hpp
@@ -17,7 +17,7 @@
  public:
   explicit LeaseLog(const LeaseStateMachine& machine) : machine_(machine) {}
 
-  // There is no log before this coordinator votes and after it has stopped. An attached log must outlive this
+  // There is no log before this coordinator votes, or after it has stopped. An attached log must outlive this
   // object or be detached first.
   void attach(consensus::ReplicatedLog& log) { log_ = &log; }
   void detach() { log_ = nullptr; }
--- a/src/fleet/lease_renewal.cpp
+++ b/src/fleet/lease_renewal.cpp
@@ -21,16 +21,19 @@
 }
 
 void LeaseRenewal::renew(const PeerConnectionPtr& connection, const HeldList& held,
-                         lease::Duration leaseDuration, lease::BootTime askedAt) {
-  const auto onApplied = [this, connection, held, leaseDuration, askedAt](const lease::ApplyResult& result) {
+                         lease::Duration leaseDuration, lease::BootTime heartbeatSentAt) {
+  const auto onApplied = [this, connection, held, leaseDuration,
+                          heartbeatSentAt](const lease::ApplyResult& result) {
     if (connection->ended) return;
     std::vector<LeaseGrant> granted;
     std::vector<LostLease> lost;
-    for (const auto& asked : held) {
+    for (const auto& requested : held) {
       const bool renewed = std::any_of(result.held.begin(), result.held.end(),
-                                       [&](const auto& lease) { return lease.key == asked.key; });
-      if (renewed) granted.push_back({asked.key, asked.epoch, asked.sequence, askedAt, leaseDuration});
-      else lost.push_back({asked.key, asked.epoch});
+                                       [&](const auto& lease) { return lease.key == requested.key; });
+      if (renewed)
+        granted.push_back(
+            {requested.key, requested.epoch, requested.sequence, heartbeatSentAt, leaseDuration});
+      else lost.push_back({requested.key, requested.epoch});
     }
     sendResponse(*connection, std::move(granted), std::move(lost));
   };
--- a/src/fleet/lease_renewal.hpp
+++ b/src/fleet/lease_renewal.hpp
@@ -24,9 +24,9 @@
   void onHeartbeat(const PeerConnectionPtr& connection, const Heartbeat& heartbeat);
 
  private:
-  using HeldList = std::vector<lease::LeasesRenewed::Held>;
+  using HeldList = std::vector<lease::LeasesRenewed::HeldKey>;
   void renew(const PeerConnectionPtr& connection, const HeldList& held, lease::Duration leaseDuration,
-             lease::BootTime askedAt);
+             lease::BootTime heartbeatSentAt);
   void sendResponse(const PeerConnection& connection, std::vector<LeaseGrant> granted,
                     std::vector<LostLease> lost) const;
 
--- a/src/fleet/link.hpp
+++ b/src/fleet/link.hpp
@@ -24,14 +24,14 @@
   connectionRefused,  // connecting failed: nothing listens there, or there is no route
   connectTimeout,     // the connection was not established within Limits::connectTimeout
   rejected,           // the peer sent JoinRejected, with its reason
-  receiveTimeout,  // no complete frame arrived within Limits::receiveTimeout: half-open connection, or a peer
-                   // that hangs
-  sendTimeout,     // more than Limits::maxQueuedBytes were queued, or writing one frame took longer than
-                   // sendTimeout
-  reset,           // the peer closed or reset the connection, possibly within a frame
-  badFrame,        // received an invalid frame, or a message that the peer must not send
-  notLeader,       // the peer does not lead, or, at a coordinator, this side no longer leads
-  stopped          // this side closed the link for another reason
+  // No complete frame arrived within Limits::receiveTimeout: half-open connection, or a peer that hangs.
+  receiveTimeout,
+  // More than Limits::maxQueuedBytes were queued, or writing one frame took longer than Limits::sendTimeout.
+  sendTimeout,
+  reset,      // the peer closed or reset the connection, possibly within a frame
+  badFrame,   // received an invalid frame, or a message that the peer must not send
+  notLeader,  // the peer does not lead, or, at a coordinator, this side no longer leads
+  stopped     // this side closed the link for another reason
 };
 // The name in event log lines.
 std::string_view nameOf(LinkEnd end);
@@ -103,8 +103,8 @@
   bool connected_ = false;  // connected and not ended
   bool ended_ = false;      // no more reads, writes or callbacks
   bool writing_ = false;    // a write of the queue's front is pending
-  std::optional<LinkEnd>
-      pendingEnd_;  // set by finish(): ends so when queue_ is empty; nothing more is queued
+  // Set by finish(): how the link ends when queue_ is empty. Nothing more is queued then.
+  std::optional<LinkEnd> pendingEnd_;
 };
 
 }  // namespace cairnjunction::fleet
--- a/src/fleet/member.hpp
+++ b/src/fleet/member.hpp
@@ -55,7 +55,7 @@
   void release(const lease::LeaseKey& key, bool failed);
   // Releases all leases and accepts none from now on; commands are still received. `done` is called once:
   // when the leader has acknowledged, when the link ends, after kLeaveTimeout, or at once if this member has
-  // not joined.
+  // not joined. Further calls do nothing, and their `done` is not called.
   void leave(std::function<void()> done);
 
   // Whether there was no contact with a leader for Settings::isolatedAfter.
--- a/src/fleet/messages.hpp
+++ b/src/fleet/messages.hpp
@@ -71,15 +71,15 @@
 // Member to leader, every heartbeat interval and right after a grant. Asks to renew the leases in `held`.
 struct Heartbeat {
   lease::BootTime sentAt{};  // the member's boot clock, read before sending; returned in LeaseGrant
-  std::vector<lease::LeasesRenewed::Held> held;
+  std::vector<lease::LeasesRenewed::HeldKey> held;
 };
 
 // A granted or renewed lease in a HeartbeatResponse.
 struct LeaseGrant {
   lease::LeaseKey key;
   lease::Epoch epoch = 0;
-  lease::Sequence sequence = 0;  // of the last command that the holder reported
-  lease::BootTime askedAt{};     // Heartbeat::sentAt of the heartbeat that the lease is measured from
+  lease::Sequence sequence = 0;       // of the last command that the holder reported
+  lease::BootTime heartbeatSentAt{};  // Heartbeat::sentAt of the heartbeat that the lease is measured from
   lease::Duration leaseDuration{};
 };
 
--- a/src/fleet/retained_commands.hpp
+++ b/src/fleet/retained_commands.hpp
@@ -13,7 +13,7 @@
  public:
   // Total size of the frames of all keys.
   static constexpr std::size_t kMaxBytes = 16 << 20;
-  static constexpr std::size_t kMaxKeys = lease::kKeysMost;
+  static constexpr std::size_t kMaxKeys = lease::kMaxKeys;
 
   struct Entry {
     lease::FencingToken token;
--- a/src/fleet/settings.cpp
+++ b/src/fleet/settings.cpp
@@ -20,9 +20,9 @@
 
 std::string readName(Reader& reader, const char* key) {
   std::string value = reader.text(key);
-  if (value.empty() || value.size() > lease::kNameMost)
+  if (value.empty() || value.size() > lease::kMaxNameBytes)
     reader.fail(reader.find(key),
-                std::string("'") + key + "' needs 1 to " + std::to_string(lease::kNameMost) + " bytes");
+                std::string("'") + key + "' needs 1 to " + std::to_string(lease::kMaxNameBytes) + " bytes");
   return value;
 }
 
@@ -56,7 +56,8 @@
   lease::TaskSpec spec;
   spec.task = readName(reader, "name");
   spec.shards = static_cast<std::uint32_t>(reader.number("shards", 1, kMaxShards, 1));
-  readTime(reader, "lease_ms", lease::kLeaseLeast.count(), lease::kLeaseMost.count(), spec.leaseDuration);
+  readTime(reader, "lease_ms", lease::kMinLeaseDuration.count(), lease::kMaxLeaseDuration.count(),
+           spec.leaseDuration);
   if (spec.leaseDuration < kMinHeartbeats * heartbeat)
     reader.fail(reader.find("lease_ms"), "a lease of " + std::to_string(spec.leaseDuration.count()) +
                                              " ms is shorter than three beats of " +
--- a/src/fleet/settings.hpp
+++ b/src/fleet/settings.hpp
@@ -14,7 +14,7 @@
 
 namespace cairnjunction::fleet {
 
-// Its text has the file, the line, what was found and what was expected.
+// The message names the file, the line, what was found and what was expected.
 using BadSettings = toml::BadFile;
 
 struct CoordinatorAddress {
@@ -24,7 +24,7 @@
 };
 
 struct Settings {
-  std::string fleet;          // the fleet's name, 1 to lease::kNameMost bytes
+  std::string fleet;          // the fleet's name, 1 to lease::kMaxNameBytes
   std::uint32_t members = 1;  // expected number of members; a member uses it until it has joined
   std::chrono::milliseconds heartbeatInterval{1000};  // between a member's heartbeats
   // A member without a response from a leader for this long is isolated. At least three heartbeat intervals.
--- a/src/fleet/voter_handshake.cpp
+++ b/src/fleet/voter_handshake.cpp
@@ -74,7 +74,7 @@
 }
 
 void VoterHandshake::reportIfMajority() {
-  const std::size_t agreeing = acceptedBy_.size() + 1;  // including this one
+  const std::size_t agreeing = acceptedBy_.size() + 1;  // including this coordinator
   if (agreeing > settings_.coordinators.size() / 2) reportResult({Result::Outcome::admitted, {}});
 }
 
--- a/src/lease/codec.cpp
+++ b/src/lease/codec.cpp
@@ -103,7 +103,7 @@
   ChangeFields fields;
   fields.member = renewed.member;
   fields.leaseDuration = renewed.leaseDuration;
-  for (const LeasesRenewed::Held& held : renewed.held)
+  for (const LeasesRenewed::HeldKey& held : renewed.held)
     fields.keys.emplace_back(held.key.task, held.key.shard, held.epoch, held.sequence);
   return fields;
 }
@@ -122,19 +122,19 @@
   return fields;
 }
 
-std::vector<LeasesRenewed::Held> heldOf(const std::vector<KeyRow>& rows) {
-  std::vector<LeasesRenewed::Held> held;
+std::vector<LeasesRenewed::HeldKey> heldKeysOf(const std::vector<KeyRow>& rows) {
+  std::vector<LeasesRenewed::HeldKey> held;
   held.reserve(rows.size());
   for (const auto& [task, shard, epoch, sequence] : rows) held.push_back({{task, shard}, epoch, sequence});
   return held;
 }
 
 // The key of a change that has exactly one. Throws std::invalid_argument if there are none or several.
-LeasesRenewed::Held singleKeyOf(const std::vector<KeyRow>& rows, std::uint8_t kind) {
+LeasesRenewed::HeldKey singleKeyOf(const std::vector<KeyRow>& rows, std::uint8_t kind) {
   if (rows.size() != 1)
     throw std::invalid_argument(std::string(kEntry) + ": kind " + std::to_string(kind) +
                                 " does not have exactly one key");
-  return heldOf(rows).front();
+  return heldKeysOf(rows).front();
 }
 
 Change changeOf(std::uint8_t kind, const ChangeFields& fields) {
@@ -143,9 +143,9 @@
     case ChangeKind::leaseGranted:
       return LeaseGranted{singleKeyOf(fields.keys, kind).key, fields.member, fields.leaseDuration};
     case ChangeKind::leasesRenewed:
-      return LeasesRenewed{fields.member, heldOf(fields.keys), fields.leaseDuration};
+      return LeasesRenewed{fields.member, heldKeysOf(fields.keys), fields.leaseDuration};
     case ChangeKind::leaseReleased: {
-      const LeasesRenewed::Held released = singleKeyOf(fields.keys, kind);
+      const LeasesRenewed::HeldKey released = singleKeyOf(fields.keys, kind);
       return LeaseReleased{released.key, released.epoch, fields.member, fields.failed};
     }
     case ChangeKind::memberLeft: return MemberLeft{fields.member};
@@ -195,7 +195,7 @@
 LeaseTableState decodeSnapshot(std::string_view bytes) {
   const auto [format, now, records, members, failures] = unpack<SnapshotRow>(bytes, kSnapshot);
   requireFormat(format, kSnapshot);
-  if (records.size() > kKeysMost || members.size() > kMaxMembers ||
+  if (records.size() > kMaxKeys || members.size() > kMaxMembers ||
       failures.size() > FailureHistories::kMaxHistories)
     throw std::invalid_argument(std::string(kSnapshot) + ": exceeds the limits of the lease table");
   LeaseTableState state;
--- a/src/lease/failure_history.hpp
+++ b/src/lease/failure_history.hpp
@@ -38,7 +38,7 @@
 
   // To be called when the member's lease expired, or was released as failed.
   void recordFailure(const std::string& member, const std::string& task, LogTime now);
-  // To be called when the member has shown that it can do the task. Erases its history of failures at it.
+  // To be called when the member has shown that it can do the task. Erases the failure history.
   void recordSuccess(const std::string& member, const std::string& task);
 
   // Without a failure: an empty history, whose backoff is over.
@@ -49,7 +49,7 @@
  private:
   void evictOne();  // the history whose backoff ends first
 
-  std::map<MemberTask, FailureHistory> histories_;  // none without a failure
+  std::map<MemberTask, FailureHistory> histories_;  // each with at least one failure
 };
 
 }  // namespace cairnjunction::lease
--- a/src/lease/fencing_gate.cpp
+++ b/src/lease/fencing_gate.cpp
@@ -5,10 +5,10 @@
 
 namespace cairnjunction::lease {
 
-void FencingGate::learn(const std::map<LeaseKey, FencingMark>& marks) {
+void FencingGate::raiseMarks(const std::map<LeaseKey, FencingMark>& marks) {
   ready_ = true;
   for (const auto& [key, mark] : marks) {
-    if (!marks_.contains(key) && marks_.size() >= kKeysMost) return;
+    if (!marks_.contains(key) && marks_.size() >= kMaxKeys) return;
     FencingMark& known = marks_[key];
     if (mark.epoch > known.epoch) known = mark;
     else if (mark.epoch == known.epoch) known.sequence = std::max(known.sequence, mark.sequence);
@@ -26,7 +26,7 @@
   if (!ready_) return FencingResult::notReady;
   const auto found = marks_.find(token.key);
   if (found == marks_.end())
-    return marks_.size() < kKeysMost ? FencingResult::accepted : FencingResult::tooManyKeys;
+    return marks_.size() < kMaxKeys ? FencingResult::accepted : FencingResult::tooManyKeys;
   const FencingMark& known = found->second;
   if (token.epoch < known.epoch) return FencingResult::staleEpoch;
   if (token.epoch > known.epoch) return FencingResult::accepted;
--- a/src/lease/fencing_gate.hpp
+++ b/src/lease/fencing_gate.hpp
@@ -14,18 +14,18 @@
 
 enum class FencingResult : std::uint8_t {
   accepted,           // newer than all admitted commands of the key: it may take effect
-  notReady,           // learn() was not called yet, so a stale epoch can't be recognized
+  notReady,           // raiseMarks() was not called yet, so a stale epoch can't be recognized
   staleEpoch,         // the key was granted again since: the sender is no longer its holder
   staleSequence,      // a duplicate, or overtaken by a later command of the same holder
   conflictingHolder,  // a second sender under one epoch: since an epoch has one holder, one of them is faulty
-  tooManyKeys         // the key has no mark yet, and kKeysMost keys have one
+  tooManyKeys         // the key has no mark yet, and kMaxKeys keys have one
 };
 // For logs.
 std::string_view nameOf(FencingResult result);
 
 class FencingGate {
  public:
-  static constexpr std::size_t kKeysMost = 1024;  // the limit of the lease table
+  static constexpr std::size_t kMaxKeys = 1024;  // the limit of the lease table
 
   // The last known command of one key.
   struct FencingMark {
@@ -39,8 +39,8 @@
   };
 
   // Merges marks from the receiver's disk, or from a coordinator after joining. A mark never decreases. No
-  // command is admitted before the first call.
-  void learn(const std::map<LeaseKey, FencingMark>& marks);
+  // command is admitted before the first call. Stops at the first new key once kMaxKeys keys have a mark.
+  void raiseMarks(const std::map<LeaseKey, FencingMark>& marks);
 
   // Decides whether the command may take effect, and if so advances the key's mark. The caller must store the
   // mark before the effect, or call rollBack() if that fails.
@@ -58,8 +58,8 @@
  private:
   FencingResult check(const FencingToken& token) const;
 
-  bool ready_ = false;                     // learn() was called
-  std::map<LeaseKey, FencingMark> marks_;  // at most kKeysMost; a mark decreases only by rollBack()
+  bool ready_ = false;                     // raiseMarks() was called
+  std::map<LeaseKey, FencingMark> marks_;  // at most kMaxKeys; a mark decreases only by rollBack()
   std::uint64_t rejectedCount_ = 0;
 };
 
--- a/src/lease/held_lease.hpp
+++ b/src/lease/held_lease.hpp
@@ -14,12 +14,12 @@
 
 class HeldLease {
  public:
-  // Records a grant or renewal. `askedAt` is the time of the request, read before it was sent. A response of
-  // an older epoch, or to an older request, changes nothing.
-  void granted(Epoch epoch, Sequence sequence, BootTime askedAt, Duration leaseDuration) {
+  // Records a grant or renewal. `requestSentAt` was read before the request was sent. A response of an
+  // older epoch, or to an older request, changes nothing.
+  void recordGrant(Epoch epoch, Sequence sequence, BootTime requestSentAt, Duration leaseDuration) {
     if (epoch < epoch_) return;
     if (epoch > epoch_) begin(epoch, sequence);
-    const BootTime validUntil = askedAt + leaseDuration - leaseDuration / kClockDriftDivisor;
+    const BootTime validUntil = requestSentAt + leaseDuration - leaseDuration / kClockDriftDivisor;
     if (!ended_ && validUntil > validUntil_) validUntil_ = validUntil;
   }
   // The lease was released, revoked or granted to another member. Only a grant with a newer epoch starts it
@@ -27,10 +27,10 @@
   void end() { ended_ = true; }
 
   // Whether the member may act for the key.
-  bool isValid(BootTime now) const { return held() && now < validUntil_; }
+  bool isValid(BootTime now) const { return isHeld() && now < validUntil_; }
   // Whether the lease was granted and not ended by end(). It may have expired: see isValid().
-  bool held() const { return epoch_ > 0 && !ended_; }
-  BootTime until() const { return validUntil_; }
+  bool isHeld() const { return epoch_ > 0 && !ended_; }
+  BootTime validUntil() const { return validUntil_; }
   Epoch epoch() const { return epoch_; }
   Sequence sequence() const { return sequence_; }  // of the last command
 
--- a/src/lease/lease.hpp
+++ b/src/lease/lease.hpp
@@ -32,7 +32,7 @@
 
 // Identifies a lease: one shard of a task. It has at most one lease holder at a time.
 struct LeaseKey {
-  std::string task;         // not empty, at most kNameMost bytes
+  std::string task;         // not empty, at most kMaxNameBytes
   std::uint32_t shard = 0;  // from 0, less than TaskSpec::shards of the task
   // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 finds it in a defaulted <=>
   auto operator<=>(const LeaseKey&) const = default;
--- a/src/lease/lease_assigner.cpp
+++ b/src/lease/lease_assigner.cpp
@@ -35,8 +35,8 @@
   LeaseAssigner(const LeaseTable& table, const std::vector<Candidate>& candidates, LogTime now)
       : table_(table), candidates_(candidates), now_(now) {
     for (const Candidate& candidate : candidates) leasesHeld_[candidate.member] = 0;
-    for (const auto& [key, record] : table.holdings())
-      if (record.heldAt(now)) countHeld(key.task, record.holder);
+    for (const auto& [key, record] : table.records())
+      if (record.isHeldAt(now)) countHeld(key.task, record.holder);
   }
 
   std::vector<LeaseGranted> assign(const std::vector<TaskSpec>& specs) {
@@ -46,7 +46,7 @@
       for (std::uint32_t shard = 0; shard < spec.shards; ++shard) {
         const LeaseKey key{spec.task, shard};
         const LeaseRecord* record = table_.find(key);
-        if (record && record->heldAt(now_)) continue;
+        if (record && record->isHeldAt(now_)) continue;
         const Member& member = bestCandidate(spec, shard, (record ? record->epoch : 0) + 1);
         grants.push_back({key, member, spec.leaseDuration});
         countHeld(spec.task, member);
--- a/src/lease/lease_table.cpp
+++ b/src/lease/lease_table.cpp
@@ -15,8 +15,10 @@
 // failures are forgotten.
 constexpr int kLeaseDurationsToClearFailures = 10;
 
-bool isValidName(const std::string& name) { return !name.empty() && name.size() <= kNameMost; }
-bool isValidDuration(Duration duration) { return duration >= kLeaseLeast && duration <= kLeaseMost; }
+bool isValidName(const std::string& name) { return !name.empty() && name.size() <= kMaxNameBytes; }
+bool isValidDuration(Duration duration) {
+  return duration >= kMinLeaseDuration && duration <= kMaxLeaseDuration;
+}
 
 }  // namespace
 
@@ -41,9 +43,9 @@
   return found == state_.members.end() ? 0 : found->second;
 }
 
-std::size_t LeaseTable::held(const Member& member, LogTime now) const {
+std::size_t LeaseTable::countHeldBy(const Member& member, LogTime now) const {
   const auto isHeldByMember = [&](const auto& entry) {
-    return entry.second.holder == member && entry.second.heldAt(now);
+    return entry.second.holder == member && entry.second.isHeldAt(now);
   };
   return static_cast<std::size_t>(
       std::count_if(state_.records.begin(), state_.records.end(), isHeldByMember));
@@ -55,7 +57,7 @@
 
 ApplyResult LeaseTable::applyChange(const MemberJoined& joined) {
   const Member& member = joined.member;
-  if (!isValidName(member.name) || member.incarnation == 0 || joined.zone.size() > kNameMost)
+  if (!isValidName(member.name) || member.incarnation == 0 || joined.zone.size() > kMaxNameBytes)
     return {RejectionReason::invalid, {}};
   if (!state_.members.contains(member.name) && !ensureMemberCapacity())
     return {RejectionReason::tableFull, {}};
@@ -68,10 +70,10 @@
     return {RejectionReason::invalid, {}};
   if (incarnationOf(granted.member.name) != granted.member.incarnation || granted.member.incarnation == 0)
     return {RejectionReason::staleIncarnation, {}};
-  if (!state_.records.contains(granted.key) && state_.records.size() >= kKeysMost)
+  if (!state_.records.contains(granted.key) && state_.records.size() >= kMaxKeys)
     return {RejectionReason::tableFull, {}};
   LeaseRecord& record = state_.records[granted.key];
-  if (record.heldAt(state_.logTime)) return {RejectionReason::alreadyHeld, {}};
+  if (record.isHeldAt(state_.logTime)) return {RejectionReason::alreadyHeld, {}};
   if (!record.holder.name.empty()) endLease(granted.key, record, LeaseChangeReason::expired);
   ++record.epoch;
   record.holder = granted.member;
@@ -88,10 +90,10 @@
   if (incarnationOf(renewed.member.name) != renewed.member.incarnation)
     return {RejectionReason::staleIncarnation, {}};
   ApplyResult result;
-  for (const LeasesRenewed::Held& held : renewed.held) {
+  for (const LeasesRenewed::HeldKey& held : renewed.held) {
     const auto found = state_.records.find(held.key);
     if (found == state_.records.end() || found->second.epoch != held.epoch ||
-        found->second.holder != renewed.member || !found->second.heldAt(state_.logTime)) {
+        found->second.holder != renewed.member || !found->second.isHeldAt(state_.logTime)) {
       result.rejection = RejectionReason::notHolder;
       continue;
     }
@@ -138,7 +140,7 @@
 bool LeaseTable::ensureMemberCapacity() {
   if (state_.members.size() < kMaxMembers) return true;
   const auto idle = std::find_if(state_.members.begin(), state_.members.end(), [this](const auto& member) {
-    return held({member.first, member.second}, state_.logTime) == 0;
+    return countHeldBy({member.first, member.second}, state_.logTime) == 0;
   });
   if (idle == state_.members.end()) return false;
   state_.members.erase(idle);
--- a/src/lease/lease_table.hpp
+++ b/src/lease/lease_table.hpp
@@ -28,7 +28,7 @@
   alreadyHeld,       // grant: the key's current lease, of any member, has not ended
   notHolder,         // renewal, release: the member does not hold the key under the epoch that it names
   staleIncarnation,  // grant, renewal: the process is not the last one that joined under its name
-  tableFull,         // join: kMaxMembers members that all hold leases; grant: kKeysMost keys
+  tableFull,         // join: kMaxMembers members that all hold leases; grant: kMaxKeys keys
   invalid            // empty or too long name, no incarnation, lease duration out of range
 };
 // For logs and answers to operators.
@@ -38,22 +38,26 @@
   RejectionReason rejection = RejectionReason::none;
   // The leases that were granted or renewed, with their epoch and the last known sequence. A renewal may list
   // leases here and also have a rejection, which then concerns its other keys.
-  std::vector<LeasesRenewed::Held> held;
+  std::vector<LeasesRenewed::HeldKey> held;
 };
 
 class LeaseTable {
  public:
+  // Applies an entry at its time, or at the table's time if that is later. Nothing is thrown: invalid values
+  // are rejected like any other entry that can't be applied.
   ApplyResult apply(const LogEntry& entry);
 
   LogTime now() const { return state_.logTime; }  // of the last entry
   // Null: the key was never granted. Valid until the next apply() or restore().
   const LeaseRecord* find(const LeaseKey& key) const;
-  const std::map<LeaseKey, LeaseRecord>& holdings() const { return state_.records; }
+  // Of all keys that were granted at least once.
+  const std::map<LeaseKey, LeaseRecord>& records() const { return state_.records; }
+  // Of the member at the task; empty if there was no failure.
   FailureHistory failureHistory(const std::string& member, const std::string& task) const;
   // The last process that joined under this name; 0: none, or it left or was evicted.
   Incarnation incarnationOf(const std::string& member) const;
   // The number of leases that the member holds at `now`.
-  std::size_t held(const Member& member, LogTime now) const;
+  std::size_t countHeldBy(const Member& member, LogTime now) const;
   const LeaseTableState& state() const { return state_; }
   bool operator==(const LeaseTable&) const = default;
 
--- a/src/lease/lease_table_invariants.cpp
+++ b/src/lease/lease_table_invariants.cpp
@@ -23,7 +23,7 @@
 
 std::string textOf(const LeaseKey& key) { return key.task + "/" + std::to_string(key.shard); }
 
-bool isValidName(const std::string& name) { return !name.empty() && name.size() <= kNameMost; }
+bool isValidName(const std::string& name) { return !name.empty() && name.size() <= kMaxNameBytes; }
 
 void expectRecord(Violations& violations, const LeaseRecord& record, LogTime logTime) {
   violations.expect(record.epoch > 0, "a key that was never granted has no record");
@@ -35,7 +35,8 @@
   } else {
     violations.expect(record.holder.incarnation != 0, "a holder has an incarnation");
     violations.expect(record.grantedAt < record.expiresAt, "a lease ends after it was granted");
-    violations.expect(record.expiresAt <= logTime + kLeaseMost, "a lease ends within the maximum duration");
+    violations.expect(record.expiresAt <= logTime + kMaxLeaseDuration,
+                      "a lease ends within the maximum duration");
   }
 }
 
@@ -44,7 +45,8 @@
   const bool granted = after.epoch != before.epoch;
   if (granted) {
     violations.expect(after.epoch == before.epoch + 1, "the epoch grows by one with a grant");
-    violations.expect(!before.heldAt(logTime), "a key is granted after its lease has ended or was released");
+    violations.expect(!before.isHeldAt(logTime),
+                      "a key is granted after its lease has ended or was released");
     violations.expect(!after.holder.name.empty(), "a grant has a holder");
     violations.expect(after.grantedAt == logTime, "a lease is granted at the time of its entry");
     return;
@@ -55,7 +57,7 @@
   if (after.holder.name.empty()) return;
   violations.expect(after.holder == before.holder, "an epoch has one holder");
   violations.expect(after.expiresAt >= before.expiresAt, "a renewal does not shorten a lease");
-  violations.expect(after.expiresAt == before.expiresAt || before.heldAt(logTime),
+  violations.expect(after.expiresAt == before.expiresAt || before.isHeldAt(logTime),
                     "a lease is not renewed after its end");
 }
 
@@ -64,7 +66,7 @@
 std::vector<std::string> LeaseTableInvariants::violationsIn(const LeaseTableState& state) {
   Violations violations;
   violations.setSubject("table");
-  violations.expect(state.records.size() <= kKeysMost, "the number of keys is within its limit");
+  violations.expect(state.records.size() <= kMaxKeys, "the number of keys is within its limit");
   violations.expect(state.members.size() <= kMaxMembers, "the number of members is within its limit");
   violations.expect(state.failures.all().size() <= FailureHistories::kMaxHistories,
                     "the number of failure histories is within its limit");
--- a/src/lease/lease_table_state.hpp
+++ b/src/lease/lease_table_state.hpp
@@ -14,7 +14,7 @@
 namespace cairnjunction::lease {
 
 // Bounds on the state that members can create. Every snapshot contains all of it.
-inline constexpr std::size_t kKeysMost = 1024;    // a fleet has a few dozen
+inline constexpr std::size_t kMaxKeys = 1024;     // a fleet has a few dozen
 inline constexpr std::size_t kMaxMembers = 4096;  // at this limit, a join evicts a member that holds no lease
 
 // Why the last lease of a key ended. Stored by its value: the order stays.
@@ -40,12 +40,12 @@
   bool operator==(const LeaseRecord&) const = default;
 
   // An expired lease keeps its holder on record until the next grant, but is not held.
-  bool heldAt(LogTime now) const { return !holder.name.empty() && now < expiresAt; }
+  bool isHeldAt(LogTime now) const { return !holder.name.empty() && now < expiresAt; }
 };
 
 struct LeaseTableState {
   LogTime logTime{};                           // of the last entry; never decreases
-  std::map<LeaseKey, LeaseRecord> records;     // never erased; at most kKeysMost
+  std::map<LeaseKey, LeaseRecord> records;     // never erased; at most kMaxKeys
   std::map<std::string, Incarnation> members;  // last process that joined, by name; at most kMaxMembers
   FailureHistories failures;
   bool operator==(const LeaseTableState&) const = default;
--- a/src/lease/log_entry.hpp
+++ b/src/lease/log_entry.hpp
@@ -13,10 +13,10 @@
 namespace cairnjunction::lease {
 
 // The longest name of a member, a task or a zone, in bytes.
-inline constexpr std::size_t kNameMost = 128;
+inline constexpr std::size_t kMaxNameBytes = 128;
 // The shortest and the longest duration of a lease.
-inline constexpr Duration kLeaseLeast{200};
-inline constexpr Duration kLeaseMost{60'000};
+inline constexpr Duration kMinLeaseDuration{200};
+inline constexpr Duration kMaxLeaseDuration{60'000};
 
 // A process joined under this name. It takes over the name but none of the leases of the previous process,
 // which may still be running behind a network partition.
@@ -29,19 +29,19 @@
 struct LeaseGranted {
   LeaseKey key;
   Member member;             // the new holder; must be the last process that joined under its name
-  Duration leaseDuration{};  // kLeaseLeast to kLeaseMost, counted from the entry's time
+  Duration leaseDuration{};  // kMinLeaseDuration to kMaxLeaseDuration, counted from the entry's time
 };
 
 // A holder renews the leases that it holds.
 struct LeasesRenewed {
-  struct Held {
+  struct HeldKey {
     LeaseKey key;
     Epoch epoch = 0;        // of the member's lease
     Sequence sequence = 0;  // of the last command that the member sent under this epoch; 0: none
   };
   Member member;
-  std::vector<Held> held;
-  Duration leaseDuration{};  // of each lease; kLeaseLeast to kLeaseMost, counted from the entry's time
+  std::vector<HeldKey> held;
+  Duration leaseDuration{};  // of each lease; limits and start as in LeaseGranted
 };
 
 // A holder releases a key before its lease ends. It sends no more commands under that epoch.
--- a/src/lease/stable_hash.hpp
+++ b/src/lease/stable_hash.hpp
@@ -1,6 +1,6 @@
 // A hash of names that is the same in each process and build, unlike std::hash: to whom a lease is granted
-// and to which shard a name belongs must not depend on the process that computes it. FNV-1a, with its own
-// offset basis; callers mix in the high bits themselves.
+// and to which shard a name belongs must not depend on the process that computes it. FNV-1a, with an
+// offset basis other than the standard one. Callers that use the low bits mix the high bits into them.
 #pragma once
 
 #include <cstdint>
--- a/src/pools/passive_health_filter.hpp
+++ b/src/pools/passive_health_filter.hpp
@@ -22,9 +22,11 @@
  public:
   explicit PassiveHealthFilter(std::vector<route::PoolServer> servers);
 
-  // Records the result of an attempt, and makes servers available again whose time is over. `server` is an
-  // index. Both return whether offered() has changed. `now` must not decrease between calls.
+  // onResult() and onTick() return whether offered() has changed. `now` must not decrease between calls.
+
+  // Records whether an attempt at the server of this index failed.
   bool onResult(policy::Timestamp now, std::size_t server, bool failure);
+  // Makes servers available again whose failTimeout is over.
   bool onTick(policy::Timestamp now);
 
   // Whether each server is offered, by index. If all servers that are not marked down are unavailable, all of
--- a/src/toml/reader.hpp
+++ b/src/toml/reader.hpp
@@ -24,8 +24,8 @@
 // Parses a file's content. `name` is the file's name in errors. Throws BadFile.
 ::toml::table parse(const std::string& text, const std::string& name);
 
-// Reads one table, key by key. A missing key yields `defaultValue`, or is an error if there is
-// none. Throws BadFile for values of another type or out of range.
+// Reads one table, key by key. A missing key yields `defaultValue`, or is an error if there is none. Throws
+// BadFile for values of another type or out of range.
 class Reader {
  public:
   // Errors begin with the file's `name`, the line and `what`, which names the table, such as "[[keeper]]: ".
--- a/src/upstream/connector.hpp
+++ b/src/upstream/connector.hpp
@@ -28,7 +28,7 @@
 
 enum class ConnectStart {
   begun,
-  noDescriptor  // no socket could be opened; the handler is not called
+  noDescriptor  // no socket could be opened; `done` is not called
 };
 
 // Opens `socket`, which must be closed, and connects it asynchronously; it becomes non-blocking, with Nagle's
--- a/src/upstream/endpoint_table.hpp
+++ b/src/upstream/endpoint_table.hpp
@@ -30,11 +30,11 @@
               Retire retire) {
     Entry& entry = entries_[endpoint];
     const bool hadAddress = entry.address.port() != 0;
-    const bool moved = address.port() != 0 && address != entry.address;
-    if (moved || !serving) retire(entry);
-    if (moved) entry.address = address;
+    const bool addressChanged = address.port() != 0 && address != entry.address;
+    if (addressChanged || !serving) retire(entry);
+    if (addressChanged) entry.address = address;
     entry.serving = serving;
-    return moved && hadAddress;
+    return addressChanged && hadAddress;
   }
   void setNoneServing() {
     for (auto& [endpoint, entry] : entries_) entry.serving = false;
--- a/tests/fleet/coordinator_parts.hpp
+++ b/tests/fleet/coordinator_parts.hpp
@@ -76,8 +76,8 @@
     std::vector<fleet::Message> received;
     std::optional<fleet::LinkEnd> end;
 
-    template <class T>
     // The received messages of type T, in order.
+    template <class T>
     std::vector<T> receivedOf() const {
       std::vector<T> found;
       for (const fleet::Message& message : received)
@@ -149,7 +149,7 @@
   // Name of the current lease holder; empty if there is none.
   std::string holder(const lease::LeaseKey& key) const {
     const lease::LeaseRecord* record = log.table().find(key);
-    return record && record->heldAt(log.now()) ? record->holder.name : "";
+    return record && record->isHeldAt(log.now()) ? record->holder.name : "";
   }
 };
 
--- a/tests/fleet/endpoint_list_filter_test.cpp
+++ b/tests/fleet/endpoint_list_filter_test.cpp
@@ -17,13 +17,14 @@
   filter.onOwnList("a", 7);
   EXPECT_FALSE(filter.accept({"b", 0, 6}));
   filter.onOwnList("a", 2);  // discovery has restarted its numbering
-  EXPECT_EQ(filter.held()->epoch, 1u);
+  EXPECT_EQ(filter.currentVersion()->epoch, 1u);
   EXPECT_FALSE(filter.accept({"b", 0, 900})) << "from the previous epoch";
   EXPECT_TRUE(filter.accept({"b", 1, 3}));
   filter.onSourceChange("a", "c");
   EXPECT_FALSE(filter.accept({"a", 1, 99})) << "from a former source";
   filter.onOwnList("c", 50);
-  EXPECT_EQ(filter.held()->epoch, 2u) << "a change of source begins an epoch even if the version is higher";
+  EXPECT_EQ(filter.currentVersion()->epoch, 2u)
+      << "a change of source begins an epoch even if the version is higher";
   EXPECT_FALSE(filter.accept({"b", 1, 60}));
   filter.onSourceChange("c", "a");
   EXPECT_TRUE(filter.accept({"a", 3, 1}));
--- a/tests/fleet/held_leases_test.cpp
+++ b/tests/fleet/held_leases_test.cpp
@@ -29,8 +29,8 @@
                                                 std::string(nameOf(reason)));
                             }}};
 
-  fleet::LeaseGrant grant(lease::Epoch epoch, lease::Duration askedAt) {
-    return {list, epoch, 0, at(askedAt), 1000ms};
+  fleet::LeaseGrant grant(lease::Epoch epoch, lease::Duration heartbeatSentAt) {
+    return {list, epoch, 0, at(heartbeatSentAt), 1000ms};
   }
 };
 
--- a/tests/fleet/lease_granting_test.cpp
+++ b/tests/fleet/lease_granting_test.cpp
@@ -10,7 +10,9 @@
  protected:
   fleet::LeaseGranting granting{io, settings, log, connections, events};
 
-  std::size_t heldCount(const std::string& name) const { return log.table().held({name, 1}, log.now()); }
+  std::size_t heldCount(const std::string& name) const {
+    return log.table().countHeldBy({name, 1}, log.now());
+  }
 };
 
 TEST_F(LeaseGrantingTest, GrantsAreMeasuredFromTheLastHeartbeat) {
@@ -21,23 +23,23 @@
   const auto responses = first.receivedOf<fleet::HeartbeatResponse>();
   ASSERT_EQ(responses.size(), 5u);
   EXPECT_EQ(responses[0].granted.at(0).epoch, 1u);
-  EXPECT_EQ(responses[0].granted.at(0).askedAt, first.connection->lastHeartbeat);
+  EXPECT_EQ(responses[0].granted.at(0).heartbeatSentAt, first.connection->lastHeartbeat);
 }
 
 // A heartbeat arrives while the log entry of a grant is being written. The lease is measured from the
 // heartbeat before it, because the log's time of the grant was read before the new one arrived.
 TEST_F(LeaseGrantingTest, AHeartbeatDuringTheProposalDoesNotExtendTheLease) {
   Peer& first = connect("a");
-  const lease::BootTime asked = *first.connection->lastHeartbeat;
+  const lease::BootTime firstHeartbeat = *first.connection->lastHeartbeat;
   replicated.deferCommits = true;
   granting.grantFreeLeases();
   granting.grantFreeLeases();
-  first.connection->lastHeartbeat = asked + std::chrono::seconds(60);
+  first.connection->lastHeartbeat = firstHeartbeat + std::chrono::seconds(60);
   replicated.commitDeferred();
   EXPECT_EQ(heldCount("a"), 5u);
   ASSERT_TRUE(until([&] { return first.received.size() == 5; })) << "each lease was proposed once";
   for (const auto& response : first.receivedOf<fleet::HeartbeatResponse>())
-    EXPECT_EQ(response.granted.at(0).askedAt, asked);
+    EXPECT_EQ(response.granted.at(0).heartbeatSentAt, firstHeartbeat);
 }
 
 TEST_F(LeaseGrantingTest, GrantsNothingToIneligibleMembers) {
@@ -45,11 +47,11 @@
   connect("b").connection->joined = false;
   connect("c").connection->lastHeartbeat.reset();
   granting.grantFreeLeases();
-  EXPECT_TRUE(log.table().holdings().empty());
+  EXPECT_TRUE(log.table().records().empty());
   connect("d");
   replicated.leading = false;
   granting.grantFreeLeases();
-  EXPECT_TRUE(log.table().holdings().empty()) << "this coordinator does not lead";
+  EXPECT_TRUE(log.table().records().empty()) << "this coordinator does not lead";
 }
 
 // The first member holds all leases. Leases of shards are transferred one at a time to a member that joins
--- a/tests/fleet/lease_renewal_test.cpp
+++ b/tests/fleet/lease_renewal_test.cpp
@@ -38,7 +38,7 @@
   ASSERT_EQ(response.granted.size(), 2u);
   EXPECT_EQ(response.granted[0].key, list);
   EXPECT_EQ(response.granted[0].sequence, 7u);
-  EXPECT_EQ(response.granted[0].askedAt, sentAt);
+  EXPECT_EQ(response.granted[0].heartbeatSentAt, sentAt);
   EXPECT_TRUE(response.lost.empty());
 }
 
--- a/tests/fleet/settings_test.cpp
+++ b/tests/fleet/settings_test.cpp
@@ -15,7 +15,6 @@
   return text;
 }
 
-// Errors in the fleet file are reported with the line and what was expected.
 TEST(FleetSettings, ErrorsNameTheLineAndTheExpectedValue) {
   EXPECT_EQ(fleet::parseSettings(fileText("[member]\nzone = \"brasov\""), "f").zone, "brasov");
   const std::pair<std::string, const char*> mistakes[] = {
--- a/tests/lease/codec_test.cpp
+++ b/tests/lease/codec_test.cpp
@@ -60,7 +60,7 @@
   std::string otherFormat = encodeSnapshot(state);
   otherFormat[1] = 2;  // the byte after the array's header
   EXPECT_EQ(errorOf(otherFormat), "snapshot: format 2, expected 1");
-  for (std::uint32_t shard = 0; shard <= kKeysMost; ++shard) state.records[{"probe", shard}].epoch = 1;
+  for (std::uint32_t shard = 0; shard <= kMaxKeys; ++shard) state.records[{"probe", shard}].epoch = 1;
   EXPECT_EQ(errorOf(encodeSnapshot(state)), "snapshot: exceeds the limits of the lease table");
 }
 
--- a/tests/lease/explorer_test.cpp
+++ b/tests/lease/explorer_test.cpp
@@ -54,7 +54,7 @@
   int member;
   int task;
   Incarnation incarnation;
-  BootTime askedAt;
+  BootTime sentAt;
   Epoch renewedEpoch;  // 0: a request for a grant
   // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 finds it in a defaulted <=>
   auto operator<=>(const Request&) const = default;
@@ -64,7 +64,7 @@
   int member;
   int task;
   Incarnation incarnation;
-  BootTime askedAt;
+  BootTime sentAt;
   Epoch epoch;
   // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 finds it in a defaulted <=>
   auto operator<=>(const Response&) const = default;
@@ -109,8 +109,8 @@
         world.highestEpoch[0], world.highestEpoch[1]);
     for (const Process& process : world.members)
       for (const HeldLease& lease : process.leases)
-        add(process.incarnation, lease.epoch(), lease.sequence(), millisecondsOf(lease.until()),
-            lease.held());
+        add(process.incarnation, lease.epoch(), lease.sequence(), millisecondsOf(lease.validUntil()),
+            lease.isHeld());
     for (const auto& [key, mark] : world.gate.marks()) {
       text_ += key.task;
       add(mark.epoch, mark.sequence);
@@ -136,11 +136,11 @@
     ((text_ += std::to_string(numbers) + ','), ...);
   }
   void addMessage(const Request& request) {
-    add(request.member, request.task, request.incarnation, millisecondsOf(request.askedAt),
+    add(request.member, request.task, request.incarnation, millisecondsOf(request.sentAt),
         request.renewedEpoch);
   }
   void addMessage(const Response& response) {
-    add(response.member, response.task, response.incarnation, millisecondsOf(response.askedAt),
+    add(response.member, response.task, response.incarnation, millisecondsOf(response.sentAt),
         response.epoch);
   }
   void addMessage(const FencingToken& token) {
@@ -158,7 +158,7 @@
 
   void explore() {
     World first;
-    first.gate.learn({});
+    first.gate.raiseMarks({});
     for (int member = 0; member < bounds_.members; ++member)
       applyChecked(first, MemberJoined{{memberName(member), 1}, ""});
     visit(first, 0);
@@ -225,14 +225,14 @@
             : applyChecked(world, LeaseGranted{key, member, kLease});
     if (!result.held.empty())
       world.network.emplace_back(
-          Response{request.member, request.task, request.incarnation, request.askedAt, result.held[0].epoch});
+          Response{request.member, request.task, request.incarnation, request.sentAt, result.held[0].epoch});
   }
 
   void receive(World& world, const Response& response) const {
     Process& process = world.members[response.member];
     if (process.incarnation != response.incarnation) return;
-    const BootTime countedFrom = faults_.leaseFromResponse ? world.bootTime() : response.askedAt;
-    process.leases[response.task].granted(response.epoch, 0, countedFrom, kLease);
+    const BootTime countedFrom = faults_.leaseFromResponse ? world.bootTime() : response.sentAt;
+    process.leases[response.task].recordGrant(response.epoch, 0, countedFrom, kLease);
   }
 
   void deliver(World& world, const Message& message) {
@@ -280,7 +280,7 @@
       const HeldLease& lease = process.leases[task];
       branch(world, depth, [&](World& copy) {
         copy.network.emplace_back(
-            Request{member, task, process.incarnation, world.bootTime(), lease.held() ? lease.epoch() : 0});
+            Request{member, task, process.incarnation, world.bootTime(), lease.isHeld() ? lease.epoch() : 0});
       });
       if (!lease.isValid(world.bootTime())) continue;
       branch(world, depth, [&](World& copy) {  // sends a command, which may arrive at any later time
@@ -303,13 +303,13 @@
     if (bounds_.receiverHasDisk) {
       marks = world.gate.marks();
     } else {
-      for (const auto& [key, record] : world.table.holdings())
+      for (const auto& [key, record] : world.table.records())
         marks[key] = {record.epoch, record.sequence, {}};
     }
     if (faults_.marksLostAtRestart) marks.clear();
     world.gate = {};
     for (auto& [key, mark] : marks) mark = mark.withoutLastCommand();
-    world.gate.learn(marks);
+    world.gate.raiseMarks(marks);
   }
 
   const Faults faults_;
--- a/tests/lease/fencing_gate_test.cpp
+++ b/tests/lease/fencing_gate_test.cpp
@@ -16,11 +16,11 @@
 }
 
 // Commands of two holders arrive late, duplicated and reordered, and one before the gate has marks. A command
-// is admitted only if it is newer than all admitted ones, and none is before learn().
+// is admitted only if it is newer than all admitted ones, and none is before raiseMarks().
 TEST(FencingGate, AdmitsOnlyNewerCommandsAndNoneBeforeItHasMarks) {
   FencingGate gate;
   EXPECT_EQ(gate.admit(token(9, 9, kMemberA)), FencingResult::notReady);
-  gate.learn({{kList, {3, 5, {}}}});
+  gate.raiseMarks({{kList, {3, 5, {}}}});
   const std::vector<std::tuple<Epoch, Sequence, Member, FencingResult>> steps{
       {2, 99, kMemberA, FencingResult::staleEpoch},       {3, 5, kMemberA, FencingResult::staleSequence},
       {3, 6, kMemberA, FencingResult::accepted},          {3, 6, kMemberA, FencingResult::staleSequence},
@@ -30,7 +30,7 @@
   for (const auto& [epoch, sequence, sender, expected] : steps)
     EXPECT_EQ(gate.admit(token(epoch, sequence, sender)), expected) << epoch << " " << sequence;
   EXPECT_EQ(gate.rejectedCount(), 7U);
-  gate.learn({{kList, {4, 0, {}}}});
+  gate.raiseMarks({{kList, {4, 0, {}}}});
   EXPECT_EQ(gate.marks().at(kList).epoch, 5U) << "a mark never decreases";
 }
 
@@ -38,10 +38,10 @@
 // are rejected.
 TEST(FencingGate, RejectsFurtherKeysAtItsLimit) {
   FencingGate gate;
-  gate.learn({{kList, {4, 0, {}}}});
-  for (std::uint32_t shard = 0; shard < 2 * FencingGate::kKeysMost; ++shard)
+  gate.raiseMarks({{kList, {4, 0, {}}}});
+  for (std::uint32_t shard = 0; shard < 2 * FencingGate::kMaxKeys; ++shard)
     gate.admit({{"d", shard}, 1, 1, kMemberA});
-  EXPECT_EQ(gate.marks().size(), FencingGate::kKeysMost);
+  EXPECT_EQ(gate.marks().size(), FencingGate::kMaxKeys);
   EXPECT_EQ(gate.admit({{"one-more", 0}, 1, 1, kMemberA}), FencingResult::tooManyKeys);
   EXPECT_EQ(gate.admit(token(5, 1, kMemberA)), FencingResult::accepted);
 }
@@ -50,7 +50,7 @@
 // gate must admit the same command again.
 TEST(FencingGate, ACommandIsAdmittedAgainAfterRollBack) {
   FencingGate gate;
-  gate.learn({});
+  gate.raiseMarks({});
   const auto stored = gate.marks();
   EXPECT_EQ(gate.admit(token(1, 1, kMemberA)), FencingResult::accepted);
   gate.rollBack(stored);
--- a/tests/lease/held_lease_test.cpp
+++ b/tests/lease/held_lease_test.cpp
@@ -14,20 +14,20 @@
   HeldLease lease;
   const Duration valid = kLease - kLease / kClockDriftDivisor;
   EXPECT_FALSE(lease.isValid(bootTime(0)));
-  lease.granted(4, 0, bootTime(1000), kLease);
+  lease.recordGrant(4, 0, bootTime(1000), kLease);
   EXPECT_TRUE(lease.isValid(bootTime(1000) + valid - Duration(1)));
   EXPECT_FALSE(lease.isValid(bootTime(1000) + valid));
-  lease.granted(4, 0, bootTime(500), kLease);
-  EXPECT_EQ(lease.until(), bootTime(1000) + valid) << "a response to an older request";
-  lease.granted(3, 0, bootTime(9000), kLease);
+  lease.recordGrant(4, 0, bootTime(500), kLease);
+  EXPECT_EQ(lease.validUntil(), bootTime(1000) + valid) << "a response to an older request";
+  lease.recordGrant(3, 0, bootTime(9000), kLease);
   EXPECT_FALSE(lease.isValid(bootTime(9000))) << "a response of an older epoch";
   EXPECT_EQ(lease.nextToken(kList, kMemberA, bootTime(2000))->sequence, 1U);
   EXPECT_EQ(lease.nextToken(kList, kMemberA, bootTime(2000))->sequence, 2U);
   lease.end();
   EXPECT_FALSE(lease.nextToken(kList, kMemberA, bootTime(2000)));
-  lease.granted(4, 0, bootTime(2000), kLease);
-  EXPECT_FALSE(lease.held()) << "a released lease starts again only with a newer epoch";
-  lease.granted(5, 0, bootTime(2000), kLease);
+  lease.recordGrant(4, 0, bootTime(2000), kLease);
+  EXPECT_FALSE(lease.isHeld()) << "a released lease starts again only with a newer epoch";
+  lease.recordGrant(5, 0, bootTime(2000), kLease);
   EXPECT_EQ(lease.nextToken(kList, kMemberA, bootTime(2000))->sequence, 1U);
 }
 
--- a/tests/lease/lease_assigner_test.cpp
+++ b/tests/lease/lease_assigner_test.cpp
@@ -17,7 +17,7 @@
   LeaseLog log;
   const std::vector<Candidate> candidates = joinedCandidates(log, 5);
   for (const LeaseGranted& grant : assignLeases(log, kProbes, candidates, log.at)) log(grant);
-  for (const Candidate& candidate : candidates) EXPECT_EQ(log.held(candidate.member, log.at), 4U);
+  for (const Candidate& candidate : candidates) EXPECT_EQ(log.countHeldBy(candidate.member, log.at), 4U);
   EXPECT_TRUE(assignLeases(log, kProbes, candidates, log.at).empty()) << "all have a holder";
 }
 
--- a/tests/lease/lease_table_invariants_test.cpp
+++ b/tests/lease/lease_table_invariants_test.cpp
@@ -36,7 +36,7 @@
        "list/0: a key that was never granted has no record"},
       {[](auto& state) { state.records[kList].expiresAt = state.records[kList].grantedAt; },
        "list/0: a lease ends after it was granted"},
-      {[](auto& state) { state.records[kList].expiresAt += kLeaseMost; },
+      {[](auto& state) { state.records[kList].expiresAt += kMaxLeaseDuration; },
        "list/0: a lease ends within the maximum duration"},
       {[](auto& state) { state.records[kList].holder.incarnation = 0; },
        "list/0: a holder has an incarnation"},
--- a/tests/lease/lease_table_test.cpp
+++ b/tests/lease/lease_table_test.cpp
@@ -64,21 +64,21 @@
   log(MemberJoined{kMemberA, ""});
   for (const Change& invalid : std::initializer_list<Change>{
            MemberJoined{{"", 1}, ""}, MemberJoined{{"x", 0}, ""},
-           MemberJoined{{std::string(kNameMost + 1, 'x'), 1}, ""}, LeaseGranted{{"", 0}, kMemberA, kLease},
-           LeaseGranted{kList, kMemberA, Duration(0)},
-           LeaseGranted{kList, kMemberA, kLeaseMost + Duration(1)},
+           MemberJoined{{std::string(kMaxNameBytes + 1, 'x'), 1}, ""},
+           LeaseGranted{{"", 0}, kMemberA, kLease}, LeaseGranted{kList, kMemberA, Duration(0)},
+           LeaseGranted{kList, kMemberA, kMaxLeaseDuration + Duration(1)},
            LeasesRenewed{kMemberA, {}, Duration(-1)}})
     EXPECT_EQ(log(invalid).rejection, RejectionReason::invalid);
   EXPECT_EQ(log(LeaseGranted{kList, kMemberB, kLease}).rejection, RejectionReason::staleIncarnation)
       << "it never joined";
 }
 
-// One member holds kKeysMost keys, and more than kMaxMembers members join. A further key is rejected; a
+// One member holds kMaxKeys keys, and more than kMaxMembers members join. A further key is rejected; a
 // further member evicts one without leases, and a member that holds leases is never evicted.
 TEST(LeaseTable, AtItsLimitsItRejectsKeysAndEvictsMembersWithoutLeases) {
   LeaseLog log;
   log(MemberJoined{kMemberA, ""});
-  for (std::uint32_t i = 0; i < kKeysMost; ++i) log(LeaseGranted{{"d", i}, kMemberA, kLease});
+  for (std::uint32_t i = 0; i < kMaxKeys; ++i) log(LeaseGranted{{"d", i}, kMemberA, kLease});
   EXPECT_EQ(log(LeaseGranted{kList, kMemberA, kLease}).rejection, RejectionReason::tableFull);
   for (std::size_t i = 0; i < kMaxMembers + 10; ++i)
     EXPECT_EQ(log(MemberJoined{{"m" + std::to_string(i), 1}, ""}).rejection, RejectionReason::none);
@@ -140,7 +140,7 @@
     ASSERT_EQ(LeaseTableInvariants::violationsIn(table_.state()), std::vector<std::string>{});
     ASSERT_EQ(LeaseTableInvariants::violationsBetween(before, table_.state()), std::vector<std::string>{});
     ASSERT_TRUE(result.held.size() <= 1);
-    for (const auto& [key, record] : table_.holdings()) observe(record, observed_[key]);
+    for (const auto& [key, record] : table_.records()) observe(record, observed_[key]);
   }
 
  private:
--- a/tests/pools/shared_quota_test.cpp
+++ b/tests/pools/shared_quota_test.cpp
@@ -29,7 +29,7 @@
   EXPECT_TRUE(quota.acquire(0, 10));
   EXPECT_FALSE(quota.acquire(0, 1));
   quota.release(0, 10);
-  EXPECT_EQ(quota.held(0), 0u);
+  EXPECT_EQ(quota.acquiredBy(0), 0u);
 }
 
 TEST(SharedQuotaTest, RandomUseStaysWithinTheTotalAndLeaksNothing) {
@@ -44,8 +44,8 @@
     } else {
       const std::uint64_t amount = random() % 60;
       std::uint64_t total = 0, own = 0;
-      for (std::size_t p = 0; p < 7; ++p) total += quota.held(p);
-      own = quota.held(pool);
+      for (std::size_t p = 0; p < 7; ++p) total += quota.acquiredBy(p);
+      own = quota.acquiredBy(pool);
       if (quota.acquire(pool, amount)) held[pool].push_back(amount);
       else {
         ASSERT_GT(own + amount, quota.guaranteed()) << "an amount within its guaranteed part was rejected";
@@ -55,7 +55,7 @@
   }
   for (std::size_t pool = 0; pool < 7; ++pool) {
     for (const std::uint64_t amount : held[pool]) quota.release(pool, amount);
-    EXPECT_EQ(quota.held(pool), 0u);
+    EXPECT_EQ(quota.acquiredBy(pool), 0u);
   }
   EXPECT_TRUE(quota.acquire(0, quota.guaranteed() + (1000 - 7 * quota.guaranteed())));
 }
