--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -32,8 +32,9 @@
   return watch_.state() == EndpointWatch::State::overdue || resyncState_ == ResyncState::resyncing;
 }
 
-// Versions of a discovery that was set up anew count from the start: its changes are none to the list held.
-bool DiscoveryClient::isFromReset(const EndpointList& list) const {
+// A discovery that was set up again counts versions from the start, so its changes do not apply to the
+// current list.
+bool DiscoveryClient::isFromResetServer(const EndpointList& list) const {
   return !list.full && version_ && list.version < *version_;
 }
 
@@ -41,10 +42,10 @@
   return !version_ || list.version > *version_;
 }
 
-// The list held is now at `list`'s version, and the watch goes on from there on the connection that brought
-// it. The next long poll is sent before callbacks hear of the list, so that no change is missed while they
-// run.
-void DiscoveryClient::adopt(EndpointWatch::Connection connection, const EndpointList& list) {
+// Sets the current version to that of `list` and continues the watch from there, on the connection that
+// received the list. The next long poll is sent before the callbacks are called with the list, so that no
+// change is missed while they run.
+void DiscoveryClient::continueWatchFrom(EndpointWatch::Connection connection, const EndpointList& list) {
   endResync();
   version_ = list.version;
   watch_.resume(std::move(connection), server_, list.version);
@@ -65,20 +66,20 @@
 void DiscoveryClient::onWatchAnswer(const EndpointWatch::Answer& answer) {
   const auto* list = std::get_if<EndpointList>(&answer.result);
   if (!list) return onWatchFailed(std::get<EndpointListFailure>(answer.result));
-  if (isFromReset(*list) || !answers(answer.kind, *list)) {
+  if (isFromResetServer(*list) || !isValidAnswer(answer.kind, *list)) {
     answer.connection->cancel();
     if (!moving()) restartFromFullList();
     return;
   }
-  adopt(answer.connection, *list);
+  continueWatchFrom(answer.connection, *list);
   callbacks_.onEndpoints(*list);
 }
 
 void DiscoveryClient::onWatchFailed(EndpointListFailure failure) {
-  if (moving()) return;  // the new server's full list is waited for, and begins the next watch
-  const bool silent = failure == EndpointListFailure::timedOut;
-  if (silent || source_ == ListSource::pushed) return startResync();
-  // A refresh or a resync that is out decides what follows.
+  if (moving()) return;  // the next watch starts when the new server sends its full list
+  const bool unresponsive = failure == EndpointListFailure::timedOut;
+  if (unresponsive || source_ == ListSource::pushed) return startResync();
+  // The outcome of a pending refresh or resync decides how to continue.
   if (resyncState_ == ResyncState::none) callbacks_.onWatchFailed();
 }
 
@@ -102,11 +103,11 @@
   sendResync(fullListRequest(timeouts_));
 }
 
-// A refresh that is out becomes the first attempt of the resync.
+// A pending refresh becomes the first attempt of the resync.
 void DiscoveryClient::startResync() {
-  const bool callIsOut = resyncState_ != ResyncState::none;
+  const bool callIsPending = resyncState_ != ResyncState::none;
   resyncState_ = ResyncState::resyncing;
-  if (!callIsOut) sendResync(openingRequest(version_, timeouts_));
+  if (!callIsPending) sendResync(openingRequest(version_, timeouts_));
 }
 
 void DiscoveryClient::sendResync(const ListRequest& request) {
@@ -118,11 +119,11 @@
 void DiscoveryClient::onResyncEnded(CallKind kind, const EndpointListResult& result) {
   const auto* list = std::get_if<EndpointList>(&result);
   if (!list) return onResyncAttemptFailed();
-  if (isFromReset(*list)) {
+  if (isFromResetServer(*list)) {
     version_.reset();
     return onResyncAttemptFailed();
   }
-  if (!answers(kind, *list)) return onResyncAttemptFailed();
+  if (!isValidAnswer(kind, *list)) return onResyncAttemptFailed();
   onResyncAnswer(*list);
 }
 
@@ -138,11 +139,12 @@
 
 void DiscoveryClient::onResyncAnswer(const EndpointList& list) {
   const bool newer = isNewer(list);
-  // While the watch is within its wait, a list that is no newer than the one held confirms it, or comes from
-  // a server that is behind. Without such a watch it is all there is, and the watch goes on from it.
+  // While a long poll is within its wait, a list that is no newer than the current one either confirms it or
+  // comes from a server that lags behind. Otherwise the list is the only answer, and the watch continues from
+  // its version.
   if (watch_.state() == EndpointWatch::State::waiting && !newer) return endResync();
   const bool unchanged = list.full && version_ == list.version;
-  adopt(resyncCall_.releaseConnection(), list);
+  continueWatchFrom(resyncCall_.releaseConnection(), list);
   if (!unchanged) callbacks_.onEndpoints(list);
 }
 
@@ -151,7 +153,8 @@
   resyncState_ = ResyncState::none;
 }
 
-// --- Another server ---------------------------------------------------------------------------------------
+// --- Moving to another server
+// ---------------------------------------------------------------------------------------
 
 void DiscoveryClient::moveTo(const tcp::endpoint& server) {
   if (server == nextServer_.value_or(server_)) return;
@@ -166,8 +169,8 @@
                  [this](const EndpointListResult& result) { onMoveEnded(result); });
 }
 
-// Until the new server has sent its full list, the endpoints held stay, and so does the old watch while it
-// lasts.
+// The current list stays in use until the new server has sent its full list, and so does the old watch unless
+// it fails.
 void DiscoveryClient::onMoveEnded(const EndpointListResult& result) {
   const auto* list = std::get_if<EndpointList>(&result);
   if (!list || !list->full) {
@@ -178,7 +181,7 @@
   nextServer_.reset();
   const auto connection = moveCall_.releaseConnection();
   moveCall_.cancel();
-  adopt(connection, *list);
+  continueWatchFrom(connection, *list);
   callbacks_.onEndpoints(*list);
 }
 
--- a/src/discovery/discovery_client.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -1,14 +1,14 @@
-// The client of discovery: keeps the list of endpoints current by a watch (a long poll), and recovers when
-// the watch breaks.
+// The discovery client: keeps the endpoint list current with a watch (a sequence of long polls), and recovers
+// when the watch breaks.
 //
-// A watch that breaks without an error is found out by its silence: the list is *stale* from then on, and the
-// changes are asked for again (a *resync*), with backoff, until a call is answered. The silent watch is kept
-// beside it while it may still be answered. docs/design/discovery.md has the states and events, and the
-// reason of each time.
+// A watch that breaks without an error is detected by a timeout. From then on the list is *stale*, and the
+// client requests the changes again (a *resync*), with backoff, until a call is answered. The unresponsive
+// watch stays open in parallel, since it may still be answered. docs/design/discovery.md describes the states
+// and events, and gives the reason for each timeout.
 //
-// A watch that fails with an error (rejected, reset) ends: its user hears so by onWatchFailed and decides
-// when to call watch() again. Where lists are pushed by an agent nobody decides that, and a resync follows at
-// once.
+// A watch that fails with an error (rejected, reset) ends: onWatchFailed notifies the caller, which decides
+// when to call watch() again. If an agent pushes the lists, no caller makes that decision, and the client
+// starts a resync at once.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -33,22 +33,22 @@
   using Milliseconds = std::chrono::milliseconds;
   using Timeouts = DiscoveryTimeouts;
 
-  // Called from the event loop, never from within a method of this class. Any method may be called from
-  // within; the client must not be destroyed there.
+  // Called from the event loop, never from within a method of this class. A callback may call any method, but
+  // must not destroy the client.
   struct Callbacks {
-    // A new list or new changes; the watch goes on already.
+    // A new list or new changes arrived. The next long poll has already been sent.
     std::function<void(const EndpointList&)> onEndpoints;
-    // The watch has ended. Nothing is asked of discovery before the next watch().
+    // The watch has ended. The client sends no request until the next watch().
     std::function<void()> onWatchFailed;
-    // A refresh() was not answered; the watch goes on.
+    // A refresh() failed; the watch continues.
     std::function<void()> onRefreshFailed = [] {};
-    // An attempt of a resync or of a move has failed; another one follows.
+    // An attempt of a resync or of a move to another server failed; the client retries it.
     std::function<void()> onRetryFailed = [] {};
   };
-  // Where lists come from.
+  // Which kind of server the lists come from.
   enum class ListSource {
-    polled,  // discovery; its user decides when to begin a watch again
-    pushed   // an agent on this machine, which is asked until it answers
+    polled,  // discovery; the caller decides when to restart a failed watch
+    pushed   // an agent on this machine; the client retries until it answers
   };
 
   DiscoveryClient(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint server, Callbacks callbacks,
@@ -57,33 +57,35 @@
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
-  // The version of the list that its user holds from before; to be called before the first watch().
+  // Sets the version of the list that the caller already has. Call it before the first watch().
   void setKnownVersion(std::int64_t version) { version_ = version; }
-  // Begins a watch; one that is on is ended. Ignored during a resync or a move, which end in a watch.
+  // Starts a watch, and ends a running one. Ignored during a resync or a move, which continue as a watch once
+  // they are answered.
   void watch();
-  // Uses another server from now on. The watch on the old one is kept until the new one has sent its full
-  // list.
+  // Switches to another server. The watch on the old one stays open until the new one has sent its full list.
   void moveTo(const boost::asio::ip::tcp::endpoint& server);
-  // Asks once for the full list beside the watch, because what is seen of the endpoints contradicts the list
-  // held. Ignored unless a watch is on, or during another refresh, a resync or a move.
+  // Requests the full list once, in parallel to the watch, for when the observed behaviour of the endpoints
+  // contradicts the current list. Ignored unless a long poll is within its wait, and during another refresh,
+  // a resync or a move.
   void refresh();
-  // Ends all calls. A move that was not answered is continued by the next watch().
+  // Cancels all calls. The next watch() resumes a move that was not answered.
   void stop();
-  // A watch is overdue, or has ended so, and no call was answered since: changes may have been missed.
+  // Whether changes may have been missed: a long poll is overdue or a resync is in progress, and no call has
+  // been answered since.
   bool stale() const;
 
  private:
-  // What is asked beside the watch, by resyncCall_.
+  // What resyncCall_ is used for, in parallel to the watch.
   enum class ResyncState {
     none,
-    refreshing,  // one attempt, to verify the list held
-    resyncing    // attempts until one is answered, since the watch has broken
+    refreshing,  // one attempt, to verify the current list
+    resyncing    // attempts until one is answered, because the watch broke
   };
 
   bool moving() const { return moveCall_.state() != RetryingCall::State::idle; }
-  bool isFromReset(const EndpointList& list) const;
+  bool isFromResetServer(const EndpointList& list) const;
   bool isNewer(const EndpointList& list) const;
-  void adopt(EndpointWatch::Connection connection, const EndpointList& list);
+  void continueWatchFrom(EndpointWatch::Connection connection, const EndpointList& list);
 
   void onWatchAnswer(const EndpointWatch::Answer& answer);
   void onWatchFailed(EndpointListFailure failure);
@@ -102,13 +104,13 @@
 
   boost::asio::ip::tcp::endpoint server_;
   std::optional<boost::asio::ip::tcp::endpoint>
-      nextServer_;  // to move to; set until it has sent its full list
+      nextServer_;  // target of the move in progress; set until it has sent its full list
   Callbacks callbacks_;
   const Timeouts timeouts_;
   const ListSource source_;
   RandomDuration random_;
   std::optional<std::int64_t>
-      version_;  // of the list held, as counted by server_; empty: a full list is wanted
+      version_;  // of the current list, as counted by server_; empty: the full list is needed
   EndpointWatch watch_;
   ResyncState resyncState_ = ResyncState::none;
   RetryingCall resyncCall_;  // idle while resyncState_ is none
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -16,27 +16,28 @@
 namespace wire = discovery_wire;
 using nlohmann::json;
 
-struct StateWord {
+struct StateName {
   DiscoveredState state;
-  const char* word;
+  const char* name;
 };
-constexpr std::array<StateWord, 3> kStateWords{{{DiscoveredState::serving, wire::kServing},
+constexpr std::array<StateName, 3> kStateNames{{{DiscoveredState::serving, wire::kServing},
                                                 {DiscoveredState::draining, wire::kDraining},
                                                 {DiscoveredState::gone, wire::kDeleted}}};
 
-std::optional<DiscoveredState> stateOf(const std::string& word) {
-  for (const StateWord& entry : kStateWords)
-    if (word == entry.word) return entry.state;
+std::optional<DiscoveredState> parseState(const std::string& name) {
+  for (const StateName& entry : kStateNames)
+    if (name == entry.name) return entry.state;
   return std::nullopt;
 }
 
-const char* wordOf(DiscoveredState state) {
-  for (const StateWord& entry : kStateWords)
-    if (state == entry.state) return entry.word;
+const char* stateName(DiscoveredState state) {
+  for (const StateName& entry : kStateNames)
+    if (state == entry.state) return entry.name;
   return wire::kDeleted;
 }
 
-// A value as an error shows it. Arrays and objects may be of any size, so only their type is shown.
+// The text of a value in an error message. Arrays and objects may be of any size, so only their type is
+// given.
 std::string describe(const json& value) {
   if (value.is_structured()) return value.type_name();
   return value.dump(-1, ' ', false, json::error_handler_t::replace);
@@ -48,7 +49,8 @@
   return it == object.end() ? "nothing" : describe(*it);
 }
 
-// The JSON object at `path` of a document; reads its fields.
+// Reads the fields of the JSON object at `path` of a document. Its methods throw EndpointListError for a
+// field that is missing or has the wrong type.
 class ObjectReader {
  public:
   ObjectReader(const json& object, std::string path) : object_(object), path_(std::move(path)) {}
@@ -63,9 +65,9 @@
   }
 
   template <class Value>
-  Value optionalField(const char* field, const Value& absent, const char* expected) const {
+  Value optionalField(const char* field, const Value& defaultValue, const char* expected) const {
     try {
-      return object_.value(field, absent);
+      return object_.value(field, defaultValue);
     } catch (const json::exception&) {
       throw error(field, expected);
     }
@@ -85,10 +87,10 @@
   DiscoveredEndpoint result;
   result.uid = reader.requiredField<std::string>(wire::kUid, "a text");
   if (result.uid.empty()) throw reader.error(wire::kUid, "a text that is not empty");
-  const auto state = stateOf(reader.requiredField<std::string>(wire::kState, "a text"));
+  const auto state = parseState(reader.requiredField<std::string>(wire::kState, "a text"));
   if (!state) throw reader.error(wire::kState, "SERVING, DRAINING or DELETED");
   result.state = *state;
-  // One that is gone needs no address.
+  // An endpoint that no longer exists needs no address.
   if (result.state != DiscoveredState::gone || object.contains(wire::kAddress)) {
     const auto address = reader.requiredField<std::string>(wire::kAddress, "a text");
     try {
@@ -108,7 +110,7 @@
 json toJson(const DiscoveredEndpoint& endpoint) {
   return {{wire::kUid, endpoint.uid},       {wire::kAddress, textOf(endpoint.endpoint)},
           {wire::kZone, endpoint.zone},     {wire::kMachineKind, endpoint.machineKind},
-          {wire::kCell, endpoint.cell},     {wire::kState, wordOf(endpoint.state)},
+          {wire::kCell, endpoint.cell},     {wire::kState, stateName(endpoint.state)},
           {wire::kWeight, endpoint.weight}, {wire::kBootMs, endpoint.bootMs}};
 }
 
--- a/src/discovery/endpoint_list.hpp
+++ b/src/discovery/endpoint_list.hpp
@@ -1,4 +1,4 @@
-// A list of endpoints in discovery's form, as it comes from discovery and stands in the configuration.
+// The endpoint list in discovery's JSON format, which discovery sends and the configuration file contains.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,8 +12,8 @@
 namespace cairnjunction {
 
 enum class DiscoveredState {
-  serving,   // takes requests
-  draining,  // finishes what it has, takes nothing new
+  serving,   // accepts requests
+  draining,  // finishes its requests in flight, accepts no new ones
   gone       // no longer exists; its address may be missing
 };
 
@@ -25,16 +25,16 @@
   std::int64_t cell = 0;
   DiscoveredState state = DiscoveredState::serving;
   double weight = 1;        // relative capacity
-  std::int64_t bootMs = 0;  // start of its process in Unix time; 0 = long ago
+  std::int64_t bootMs = 0;  // start of its process, Unix time in milliseconds; 0: long ago
 };
 
 struct EndpointList {
-  std::int64_t version = 0;  // counted by the server that the list comes from
-  bool full = false;         // true: an endpoint that is not named is gone; false: changes only
+  std::int64_t version = 0;  // assigned by the server that sent the list
+  bool full = false;         // true: an endpoint that is not listed no longer exists; false: changes only
   std::vector<DiscoveredEndpoint> endpoints;
 };
 
-// A list that can't be read: which field, what was expected there and what was found.
+// A list that cannot be parsed: the field, what was expected there, and what was found.
 class EndpointListError : public std::invalid_argument {
  public:
   EndpointListError(std::string field, std::string expected, std::string found);
@@ -49,14 +49,14 @@
   std::string found_;
 };
 
-// Reads discovery's form; fields that it does not know are ignored. Throws EndpointListError.
+// Parses discovery's format; unknown fields are ignored. Throws EndpointListError.
 EndpointList parseEndpointList(const nlohmann::json& document);
-// Writes the form that parseEndpointList() reads.
+// Writes the format that parseEndpointList() reads.
 nlohmann::json toJson(const EndpointList& list);
 
-// Reads "127.0.0.1:8080"; throws std::invalid_argument on anything else.
+// Parses an IP address and a port, such as "127.0.0.1:8080". Throws std::invalid_argument on anything else.
 boost::asio::ip::tcp::endpoint parseEndpoint(std::string_view text);
-// Writes the form that parseEndpoint() reads.
+// Writes the format that parseEndpoint() reads.
 std::string textOf(const boost::asio::ip::tcp::endpoint& at);
 
 }  // namespace cairnjunction
--- a/src/discovery/endpoint_list_call.cpp
+++ b/src/discovery/endpoint_list_call.cpp
@@ -29,11 +29,11 @@
 }
 
 EndpointListFailure failureOf(error_code ec) {
-  // An answer that ends too soon is one of Beast's own errors, though the connection failed.
-  const bool endedEarly = ec == http::error::end_of_stream || ec == http::error::partial_message;
-  const bool readable =
-      endedEarly || ec.category() != http::make_error_code(http::error::end_of_stream).category();
-  return readable ? EndpointListFailure::connectionFailed : EndpointListFailure::malformed;
+  // Beast reports a truncated response as one of its own errors, although the connection failed.
+  const bool truncated = ec == http::error::end_of_stream || ec == http::error::partial_message;
+  const bool connectionError =
+      truncated || ec.category() != http::make_error_code(http::error::end_of_stream).category();
+  return connectionError ? EndpointListFailure::connectionFailed : EndpointListFailure::malformed;
 }
 
 }  // namespace
@@ -41,33 +41,33 @@
 EndpointListCall::EndpointListCall(boost::asio::io_context& io, tcp::endpoint server)
     : server_(std::move(server)), socket_(io), deadline_(io) {}
 
-void EndpointListCall::start(const std::string& target, std::chrono::milliseconds connect,
-                             std::chrono::milliseconds total, Ended ended) {
-  ended_ = std::move(ended);
+void EndpointListCall::start(const std::string& target, std::chrono::milliseconds connectTimeout,
+                             std::chrono::milliseconds callTimeout, ResultCallback onResult) {
+  onResult_ = std::move(onResult);
   request_ = {http::verb::get, target, 11};
   request_.set(http::field::host, textOf(server_));
   parser_.emplace();
   parser_->body_limit(kMaxListBytes);
   const auto now = Clock::now();
-  const auto end = now + total;
+  const auto callDeadline = now + callTimeout;
   if (socket_.is_open()) {
-    setDeadline(end);
+    setDeadline(callDeadline);
     return write();
   }
   buffer_.clear();
-  setDeadline(std::min(end, now + connect));
-  socket_.async_connect(server_, [self = shared_from_this(), end](error_code ec) {
-    if (!self->ended_) return;
+  setDeadline(std::min(callDeadline, now + connectTimeout));
+  socket_.async_connect(server_, [self = shared_from_this(), callDeadline](error_code ec) {
+    if (!self->onResult_) return;
     if (ec) return self->finish(EndpointListFailure::connectionFailed);
     error_code ignored;
     self->socket_.set_option(tcp::no_delay(true), ignored);
-    self->setDeadline(end);
+    self->setDeadline(callDeadline);
     self->write();
   });
 }
 
 void EndpointListCall::cancel() {
-  ended_ = nullptr;
+  onResult_ = nullptr;
   deadline_.cancel();
   error_code ignored;
   socket_.close(ignored);
@@ -75,13 +75,13 @@
 
 void EndpointListCall::setDeadline(Clock::time_point deadline) {
   deadline_.startAt(deadline, [self = shared_from_this()] {
-    if (self->ended_) self->finish(EndpointListFailure::timedOut);
+    if (self->onResult_) self->finish(EndpointListFailure::timedOut);
   });
 }
 
 void EndpointListCall::write() {
   http::async_write(socket_, request_, [self = shared_from_this()](error_code ec, std::size_t) {
-    if (!self->ended_) return;
+    if (!self->onResult_) return;
     if (ec) return self->finish(EndpointListFailure::connectionFailed);
     http::async_read(self->socket_, self->buffer_, *self->parser_,
                      [self](error_code readError, std::size_t) { self->onResponse(readError); });
@@ -89,7 +89,7 @@
 }
 
 void EndpointListCall::onResponse(error_code ec) {
-  if (!ended_) return;
+  if (!onResult_) return;
   if (ec) return finish(failureOf(ec));
   if (parser_->get().result() != http::status::ok) return finish(EndpointListFailure::rejected);
   finish(parseBody(parser_->get().body()));
@@ -99,9 +99,9 @@
   deadline_.cancel();
   error_code ignored;
   if (!std::holds_alternative<EndpointList>(result) || !parser_->get().keep_alive()) socket_.close(ignored);
-  // Moved out first: the callback may start the next call.
-  const Ended ended = std::exchange(ended_, nullptr);
-  ended(result);
+  // Cleared first, because the callback may start the next call.
+  const ResultCallback onResult = std::exchange(onResult_, nullptr);
+  onResult(result);
 }
 
 }  // namespace cairnjunction
--- a/src/discovery/endpoint_list_call.hpp
+++ b/src/discovery/endpoint_list_call.hpp
@@ -1,4 +1,5 @@
-// A connection to discovery that carries one call at a time. What a call is for is its caller's concern.
+// A connection to discovery that carries one call at a time: a GET request whose response is an endpoint
+// list.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,34 +21,34 @@
 
 namespace cairnjunction {
 
-// Why a call brought no list.
+// Why a call returned no list.
 enum class EndpointListFailure {
-  rejected,          // answered with another status than 200
-  connectionFailed,  // refused, reset or closed before the answer was complete
-  timedOut,          // no complete answer in the time for it
-  malformed          // an answer that is no HTTP, or whose body is no list
+  rejected,          // the response has another status than 200
+  connectionFailed,  // refused, reset or closed before the response was complete
+  timedOut,          // no complete response before the deadline
+  malformed          // the response is not valid HTTP, or its body is not a valid list
 };
 using EndpointListResult = std::variant<EndpointList, EndpointListFailure>;
 
-// Held by shared pointers: the event loop keeps it alive while an operation on its socket is pending.
+// Owned by shared pointers: the event loop keeps it alive while an operation on its socket is pending.
 class EndpointListCall : public std::enable_shared_from_this<EndpointListCall> {
  public:
   using Result = EndpointListResult;
   // Called once for each start(), from the event loop and never from within start(); not called after
-  // cancel(). It may start the next call, cancel, and release the last pointer to this.
-  using Ended = std::function<void(const Result&)>;
+  // cancel(). It may start the next call, cancel, and release the last pointer to this object.
+  using ResultCallback = std::function<void(const Result&)>;
 
   EndpointListCall(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint server);
 
-  // Sends GET `target`, after connecting if the connection is not open: that may take `connect`, the whole
-  // call `total`. No call may be pending. The connection stays open after a list if both sides allow that,
-  // and is closed after a failure.
-  void start(const std::string& target, std::chrono::milliseconds connect, std::chrono::milliseconds total,
-             Ended ended);
-  // Ends a pending call without a result, and closes the connection.
+  // Sends GET `target`, after connecting if the connection is not open. `connectTimeout` limits connecting,
+  // `callTimeout` the whole call. No other call may be pending. The connection stays open after a list if
+  // both sides allow keep-alive, and is closed after a failure.
+  void start(const std::string& target, std::chrono::milliseconds connectTimeout,
+             std::chrono::milliseconds callTimeout, ResultCallback onResult);
+  // Ends a pending call without calling its callback, and closes the connection.
   void cancel();
-  // Whether the next call can be sent on the connection: it is open and no call is pending.
-  bool reusable() const { return socket_.is_open() && !ended_; }
+  // Whether the connection is open and no call is pending, so that it can carry another call.
+  bool reusable() const { return socket_.is_open() && !onResult_; }
 
  private:
   void write();
@@ -60,9 +61,9 @@
   OneShotTimer deadline_;  // runs while a call is pending
   boost::beast::flat_buffer buffer_;
   boost::beast::http::request<boost::beast::http::empty_body> request_;
-  // A new one for each call; empty before the first.
+  // Replaced for each call; empty before the first.
   std::optional<boost::beast::http::response_parser<boost::beast::http::string_body>> parser_;
-  Ended ended_;  // set while a call is pending
+  ResultCallback onResult_;  // set while a call is pending
 };
 
 }  // namespace cairnjunction
--- a/src/discovery/endpoint_watch.cpp
+++ b/src/discovery/endpoint_watch.cpp
@@ -20,7 +20,7 @@
   stop();
   connection_ = std::move(connection);
   state_ = State::waiting;
-  // Drawn: gateways whose watches began together end them apart.
+  // Random, so that gateways whose watches start together do not send their next long polls together.
   const auto wait = random_.between(timeouts_.watchMin, timeouts_.watchMax);
   send(server, longPollRequest(version, wait, timeouts_));
   overdueTimer_.startAfter(wait + timeouts_.watchGrace, [this] { onOverdue(); });
@@ -44,7 +44,7 @@
 }
 
 void EndpointWatch::onCallEnded(CallKind kind, const EndpointListResult& result) {
-  // Taken out first, so that stop() leaves the connection open for what follows.
+  // Moved out first, so that stop() leaves the connection open for the next call.
   const Connection connection = std::exchange(connection_, nullptr);
   stop();
   callbacks_.onAnswer({kind, connection, result});
--- a/src/discovery/endpoint_watch.hpp
+++ b/src/discovery/endpoint_watch.hpp
@@ -1,4 +1,4 @@
-// A watch on the list of endpoints: long polls one after the other on one connection.
+// A watch on the endpoint list: consecutive long polls on one connection.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,27 +16,27 @@
 
 namespace cairnjunction {
 
-// A watch may break without an error: the answer never comes, and changes since are not heard. So each long
-// poll waits only briefly, and one that is unanswered past its wait is *overdue*.
+// A watch may break without an error: no answer arrives, and later changes are missed. So each long poll
+// waits only briefly, and one that is unanswered after its wait is *overdue*.
 //
-// The watch ends with each answer; its user decides whether to go on (resume()) on the connection that the
-// answer came on.
+// The watch ends with each answer. The caller decides whether to continue it with resume(), on the connection
+// that the answer arrived on.
 class EndpointWatch {
  public:
   using Connection = std::shared_ptr<EndpointListCall>;
   enum class State {
-    off,      // no call is out
-    opening,  // the first call is out: it asks for the changes so far, or for the full list
-    waiting,  // a long poll is out and within its wait
-    overdue   // a long poll is out and unanswered past its wait; it may still be answered
+    off,      // no call is pending
+    opening,  // the first call is pending: it requests the changes so far, or the full list
+    waiting,  // a long poll is pending and within its wait
+    overdue   // a long poll is unanswered after its wait and the grace period; it may still be answered
   };
-  // A call of the watch has ended, and the watch is off. `connection` carried the call.
+  // The result of a call, which ended the watch. `connection` carried the call.
   struct Answer {
     CallKind kind;
     const Connection& connection;
     const EndpointListResult& result;
   };
-  // Called from the event loop, never from within a method. Any method may be called from within.
+  // Called from the event loop, never from within a method. A callback may call any method.
   struct Callbacks {
     std::function<void(const Answer&)> onAnswer;
     std::function<void()> onOverdue;  // the state has just become overdue
@@ -49,10 +49,10 @@
   EndpointWatch(const EndpointWatch&) = delete;
   EndpointWatch& operator=(const EndpointWatch&) = delete;
 
-  // Begins on a new connection, from `version` if one is known. Ends a watch that is on.
+  // Starts on a new connection, from `version` if one is known. Ends a running watch.
   void open(const boost::asio::ip::tcp::endpoint& server, std::optional<std::int64_t> version);
-  // Goes on with a long poll from `version` on `connection`, whose call has ended; if it was closed since, on
-  // a new one to `server`. Ends a watch that is on.
+  // Sends a long poll from `version` on `connection`, whose call has ended, or on a new connection to
+  // `server` if that one is null or closed. Ends a running watch.
   void resume(Connection connection, const boost::asio::ip::tcp::endpoint& server, std::int64_t version);
   void stop();
 
--- a/src/discovery/list_request.cpp
+++ b/src/discovery/list_request.cpp
@@ -8,7 +8,8 @@
 namespace wire = discovery_wire;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kShortestWait{1};  // that a call may name: discovery answers at once
+// The shortest wait that a call may request. Discovery answers it at once.
+constexpr milliseconds kMinWait{1};
 
 std::string changesTarget(std::int64_t since, milliseconds wait) {
   return std::string(wire::kPath) + "?" + wire::kSince + "=" + std::to_string(since) + "&" +
@@ -18,11 +19,11 @@
 }  // namespace
 
 ListRequest fullListRequest(const DiscoveryTimeouts& timeouts) {
-  return {CallKind::fullList, wire::kPath, kShortestWait + timeouts.response};
+  return {CallKind::fullList, wire::kPath, kMinWait + timeouts.response};
 }
 
 ListRequest changesRequest(std::int64_t since, const DiscoveryTimeouts& timeouts) {
-  return {CallKind::changesNow, changesTarget(since, kShortestWait), kShortestWait + timeouts.response};
+  return {CallKind::changesNow, changesTarget(since, kMinWait), kMinWait + timeouts.response};
 }
 
 ListRequest longPollRequest(std::int64_t since, milliseconds wait, const DiscoveryTimeouts& timeouts) {
--- a/src/discovery/one_shot_timer.hpp
+++ b/src/discovery/one_shot_timer.hpp
@@ -1,4 +1,4 @@
-// A timer for one callback.
+// A timer that calls one callback once.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,16 +11,16 @@
 
 namespace cairnjunction {
 
-// start() replaces what was started before; neither that nor a callback that was cancelled is ever called. A
-// plain asio timer does not promise this: if it has expired when it is cancelled, its handler is queued
-// already and is called without an error.
+// Starting the timer replaces the previous callback. A callback that was replaced or cancelled, or whose
+// timer was destroyed, is never called. A plain asio timer does not guarantee this: if it has already expired
+// when it is cancelled, its handler is queued and is called without an error.
 class OneShotTimer {
  public:
   using Clock = std::chrono::steady_clock;
 
   explicit OneShotTimer(boost::asio::io_context& io) : timer_(io) {}
 
-  // Calls `callback` from the event loop at that time.
+  // Calls `callback` from the event loop at `time`.
   template <class Callback>
   void startAt(Clock::time_point time, Callback callback) {
     timer_.expires_at(time);
@@ -41,7 +41,7 @@
 
  private:
   boost::asio::steady_timer timer_;
-  std::uint64_t generation_ = 0;  // of the latest start or cancel; a handler of an earlier one does nothing
+  std::uint64_t generation_ = 0;  // incremented by each start and cancel; older handlers do nothing
   CallbackGuard lifetime_;
 };
 
--- a/src/discovery/retry_backoff.cpp
+++ b/src/discovery/retry_backoff.cpp
@@ -5,7 +5,7 @@
 namespace cairnjunction {
 namespace {
 
-// Far beyond any maximum; keeps the shift defined.
+// Limits the shift to a defined range. The backoff reaches its maximum much earlier.
 constexpr int kMaxBackoffDoublings = 16;
 
 }  // namespace
--- a/src/discovery/retry_backoff.hpp
+++ b/src/discovery/retry_backoff.hpp
@@ -7,8 +7,8 @@
 
 namespace cairnjunction {
 
-// Draws durations. Each gateway has its own seed: gateways that see the same event must not act in one
-// moment.
+// Draws random durations. Each gateway has its own seed, so that gateways that see the same event do not act
+// at the same moment.
 class RandomDuration {
  public:
   using Milliseconds = std::chrono::milliseconds;
@@ -16,30 +16,31 @@
   RandomDuration() : RandomDuration(std::random_device{}()) {}
   explicit RandomDuration(std::uint32_t seed) : engine_(seed) {}
 
-  // Uniform from `min` to `max`, both included; `min` if there is nothing between.
+  // Uniformly distributed from `min` to `max`, both inclusive; `min` if `max` is not greater.
   Milliseconds between(Milliseconds min, Milliseconds max);
 
  private:
   std::minstd_rand engine_;
 };
 
-// The pauses between attempts of one operation. Discovery works through one call at a time, and all gateways
-// see its failure at the same moment: so pauses grow, and each is drawn.
+// The delays between attempts of one operation. Discovery handles one call at a time, and all gateways see
+// its failure at the same moment, so the delays grow and are random.
 class RetryBackoff {
  public:
   using Milliseconds = std::chrono::milliseconds;
 
-  // Pauses around `initial`, doubled with each failure up to `max`.
+  // The backoff is `initial` after the first failure, and doubles with each further failure up to `max`.
   RetryBackoff(Milliseconds initial, Milliseconds max) : initial_(initial), max_(max) {}
 
-  // The pause after one more failure: from half to one and a half of the backoff.
+  // Counts a failure and returns the delay before the next attempt: a random duration from 0.5 to 1.5 times
+  // the backoff.
   Milliseconds next(RandomDuration& random);
   void reset() { failures_ = 0; }
 
  private:
   Milliseconds initial_;
   Milliseconds max_;
-  int failures_ = 0;  // in a row, since reset()
+  int failures_ = 0;  // since the last reset()
 };
 
 }  // namespace cairnjunction
--- a/src/discovery/retrying_call.cpp
+++ b/src/discovery/retrying_call.cpp
@@ -13,20 +13,20 @@
       retryTimer_(io) {}
 
 void RetryingCall::send(const boost::asio::ip::tcp::endpoint& server, const ListRequest& request,
-                        EndpointListCall::Ended ended) {
+                        EndpointListCall::ResultCallback onResult) {
   if (!connection_ || !connection_->reusable()) connection_ = std::make_shared<EndpointListCall>(io_, server);
   state_ = State::pending;
   connection_->start(request.target, timeouts_.connect, request.timeout,
-                     [this, ended = std::move(ended)](const EndpointListResult& result) {
+                     [this, onResult = std::move(onResult)](const EndpointListResult& result) {
                        state_ = State::idle;
-                       ended(result);
+                       onResult(result);
                      });
 }
 
-void RetryingCall::retryAfterBackoff(std::function<void()> attempt) {
+void RetryingCall::retryAfterBackoff(std::function<void()> sendAttempt) {
   closeConnection();
   state_ = State::backingOff;
-  retryTimer_.startAfter(backoff_.next(random_), std::move(attempt));
+  retryTimer_.startAfter(backoff_.next(random_), std::move(sendAttempt));
 }
 
 void RetryingCall::cancel() {
--- a/src/discovery/retrying_call.hpp
+++ b/src/discovery/retrying_call.hpp
@@ -1,4 +1,4 @@
-// A call to discovery that is repeated until it is answered.
+// A call to discovery that is retried with backoff.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,13 +14,13 @@
 
 namespace cairnjunction {
 
-// Its user sends each attempt, judges the result, and has a failed one repeated after a backoff.
+// The caller sends each attempt, checks its result, and calls retryAfterBackoff() if it failed.
 class RetryingCall {
  public:
   enum class State {
-    idle,       // no attempt is out and none will follow
-    pending,    // an attempt is out
-    backingOff  // the last attempt failed; the next one follows after a pause
+    idle,       // no attempt is pending or scheduled
+    pending,    // an attempt is pending
+    backingOff  // the last attempt failed; the next one follows after a delay
   };
 
   // `timeouts` and `random` must outlive this.
@@ -29,16 +29,18 @@
   RetryingCall(const RetryingCall&) = delete;
   RetryingCall& operator=(const RetryingCall&) = delete;
 
-  // Sends an attempt. `ended` is called from the event loop, with the state idle; any method may be called
-  // from within.
+  // Sends an attempt. `onResult` is called from the event loop, after the state has become idle; it may call
+  // any method.
   void send(const boost::asio::ip::tcp::endpoint& server, const ListRequest& request,
-            EndpointListCall::Ended ended);
-  // Closes the connection of the attempt that failed, and calls `attempt` from the event loop after the
+            EndpointListCall::ResultCallback onResult);
+  // Closes the connection of the failed attempt, and calls `sendAttempt` from the event loop after the
   // backoff.
-  void retryAfterBackoff(std::function<void()> attempt);
-  // Ends an attempt or a pause without a callback, and closes the connection. The backoff starts anew.
+  void retryAfterBackoff(std::function<void()> sendAttempt);
+  // Cancels a pending attempt or a backoff without calling its callback, closes the connection, and resets
+  // the backoff to its initial value.
   void cancel();
-  // Hands out the connection of the attempt that has ended; whoever takes it decides whether it stays open.
+  // Transfers the connection of the attempt that has ended to the caller, who decides whether to close it.
+  // Null if there is none.
   std::shared_ptr<EndpointListCall> releaseConnection();
 
   State state() const { return state_; }
@@ -51,7 +53,7 @@
   RandomDuration& random_;
   RetryBackoff backoff_;
   State state_ = State::idle;
-  std::shared_ptr<EndpointListCall> connection_;  // set while pending, and until its result has been judged
+  std::shared_ptr<EndpointListCall> connection_;  // set while pending, and until the result is handled
   OneShotTimer retryTimer_;                       // runs while backing off
 };
 
--- a/src/discovery/timeouts.cpp
+++ b/src/discovery/timeouts.cpp
@@ -7,9 +7,9 @@
 
 using std::chrono::milliseconds;
 
-// An agent that runs answers within a few milliseconds. One that was silent knows all changes as soon as it
-// is back, and from then on the gateway counts as notified of them: so it is asked at least five times a
-// second.
+// A running agent answers within a few milliseconds. An agent that was unresponsive knows all changes as soon
+// as it is back, and from then on the gateway counts as notified of them. So the gateway asks at least five
+// times a second.
 constexpr milliseconds kAgentResponseTimeout{150};
 constexpr milliseconds kAgentRetryBackoff{30};
 
--- a/src/discovery/wire_names.hpp
+++ b/src/discovery/wire_names.hpp
@@ -1,20 +1,20 @@
-// The words of discovery's protocol: path and query of a call, fields and states of its lists. They are fixed
-// by discovery and stand nowhere else in the package.
+// The names of discovery's protocol: path and query of a call, fields and states of the lists. They are
+// defined by discovery and are written only here in the package.
 #pragma once
 
 namespace cairnjunction::discovery_wire {
 
-// A call: GET kPath[?kSince=VERSION&kTimeoutMs=MILLISECONDS]. Without a query it asks for the full list.
+// A call: GET kPath[?kSince=VERSION&kTimeoutMs=MILLISECONDS]. Without a query it requests the full list.
 inline constexpr const char* kPath = "/discovery/hosts";
 inline constexpr const char* kSince = "since";
 inline constexpr const char* kTimeoutMs = "timeout_ms";
 
-// A list.
+// Fields of a list.
 inline constexpr const char* kVersion = "rev";
 inline constexpr const char* kFull = "all";
 inline constexpr const char* kEndpoints = "targets";
 
-// An endpoint in a list.
+// Fields of an endpoint in a list.
 inline constexpr const char* kUid = "uid";
 inline constexpr const char* kAddress = "endpoint";
 inline constexpr const char* kZone = "az";
--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -1,6 +1,6 @@
-// The client of discovery with scripted servers on loopback: watches that break without an error, attempts
-// that fail in every way, moves to another server, agents that push. Calls are numbered from 0 in the order
-// in which the server read them; call 0 opens the watch, and call 1 is its first long poll.
+// The discovery client against scripted servers on loopback: watches that break without an error, attempts
+// that fail in each way, moves to another server, and agents that push lists. Calls are numbered from 0 in
+// the order in which the server reads them: call 0 opens the watch, and call 1 is its first long poll.
 #include "discovery/discovery_client.hpp"
 
 #include <gtest/gtest.h>
@@ -23,14 +23,14 @@
 struct DiscoveryCall {
   std::shared_ptr<PeerConnection> connection;
   std::string target;
-  bool has(const std::string& text) const { return target.find(text) != std::string::npos; }
+  bool targetContains(const std::string& text) const { return target.find(text) != std::string::npos; }
 };
 
 class DiscoveryClientTest : public LoopTest {
  public:
   std::vector<DiscoveryCall> calls;
   std::function<void(std::size_t, PeerConnection&)> onCall = [](std::size_t, PeerConnection&) {};
-  // Another server for each start, so that no late call of one run is counted in the next.
+  // Each start() uses a new server, so that late calls of one run are not counted in the next.
   std::vector<std::unique_ptr<Peer>> peers;
   DiscoveryClient::Timeouts timeouts = shortTimeouts();
   DiscoveryClient::ListSource source = DiscoveryClient::ListSource::polled;
@@ -38,7 +38,7 @@
   std::vector<EndpointList> lists;
   int watchFailures = 0, refreshFailures = 0, retryFailures = 0;
 
-  // Long polls are overdue at once, and no other call times out unless a test shortens its time.
+  // Long polls become overdue after 40 ms, and no other call times out unless a test shortens its timeout.
   static DiscoveryClient::Timeouts shortTimeouts() {
     DiscoveryClient::Timeouts timeouts;
     timeouts.watchMin = timeouts.watchMax = 30ms;
@@ -53,11 +53,12 @@
     calls.clear();
     lists.clear();
     watchFailures = refreshFailures = retryFailures = 0;
-    peers.push_back(std::make_unique<Peer>(io, [this, mine = peers.size()](PeerConnection& connection) {
-      if (mine + 1 != peers.size()) return;
-      calls.push_back({connection.shared_from_this(), connection.request.target().to_string()});
-      onCall(calls.size() - 1, connection);
-    }));
+    peers.push_back(
+        std::make_unique<Peer>(io, [this, serverIndex = peers.size()](PeerConnection& connection) {
+          if (serverIndex + 1 != peers.size()) return;
+          calls.push_back({connection.shared_from_this(), connection.request.target().to_string()});
+          onCall(calls.size() - 1, connection);
+        }));
     client = std::make_unique<DiscoveryClient>(
         io, peers.back()->endpoint,
         DiscoveryClient::Callbacks{[this](const EndpointList& list) { lists.push_back(list); },
@@ -67,13 +68,13 @@
     if (version) client->setKnownVersion(*version);
     client->watch();
   }
-  ::testing::AssertionResult called(std::size_t count) {
+  ::testing::AssertionResult waitForCalls(std::size_t count) {
     return until([this, count] { return calls.size() >= count; });
   }
   std::set<std::string> receivedUids() const {
     std::set<std::string> uids;
     for (const EndpointList& list : lists)
-      for (const DiscoveredEndpoint& host : list.endpoints) uids.insert(host.uid);
+      for (const DiscoveredEndpoint& endpoint : list.endpoints) uids.insert(endpoint.uid);
     return uids;
   }
 };
@@ -87,38 +88,41 @@
      }},
     {"reset", [](PeerConnection& connection) { connection.reset(); }},
     {"closed", [](PeerConnection& connection) { connection.close(); }},
-    {"half an answer, then reset",
+    {"incomplete answer, then reset",
      [](PeerConnection& connection) {
        connection.replyThenReset("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"rev\"");
      }},
-    {"no HTTP", [](PeerConnection& connection) { connection.reply("no answer at all\r\n\r\n"); }},
+    {"not HTTP", [](PeerConnection& connection) { connection.reply("no answer at all\r\n\r\n"); }},
     {"malformed list",
      [](PeerConnection& connection) { connection.reply(answerText(200, "", "{\"rev\":\"x\"}")); }}};
 
 // --- A watch that breaks without an error ---------------------------------------------------------------
 
-// A long poll stays unanswered past its wait. The client asks for the changes since its version on a second
-// connection, and goes on there once that is answered.
-TEST_F(DiscoveryClientTest, SilentWatchIsReplacedByACallFromTheVersionHeld) {
+// A long poll stays unanswered after its wait. The client requests the changes since its version on a second
+// connection, and continues the watch there once that call is answered.
+TEST_F(DiscoveryClientTest, ReplacesAnUnresponsiveWatchByAResyncFromTheCurrentVersion) {
   onCall = [](std::size_t call, PeerConnection& connection) {
     if (call == 0) connection.reply(listText(1, false));
     if (call == 2) connection.reply(listText(2, false, {"s-2"}));
   };
   start();
-  ASSERT_TRUE(called(4));
-  EXPECT_TRUE(calls[0].has("since=1&timeout_ms=1")) << "of a watch, the first";
-  EXPECT_TRUE(calls[1].has("since=1&timeout_ms=30")) << "the long poll, which is never answered";
-  EXPECT_TRUE(calls[2].has("since=1&timeout_ms=1"));
-  EXPECT_FALSE(calls[2].has("timeout_ms=30"));
-  EXPECT_NE(calls[2].connection, calls[1].connection) << "beside the watch, which may still be answered";
-  EXPECT_EQ(calls[3].connection, calls[2].connection) << "and carries the watch on";
-  EXPECT_TRUE(calls[3].has("since=2&timeout_ms=30"));
+  ASSERT_TRUE(waitForCalls(4));
+  EXPECT_TRUE(calls[0].targetContains("since=1&timeout_ms=1")) << "the first call of a watch";
+  EXPECT_TRUE(calls[1].targetContains("since=1&timeout_ms=30")) << "the long poll, which is never answered";
+  EXPECT_TRUE(calls[2].targetContains("since=1&timeout_ms=1"));
+  EXPECT_FALSE(calls[2].targetContains("timeout_ms=30"));
+  EXPECT_NE(calls[2].connection, calls[1].connection)
+      << "sent in parallel to the watch, which may still be answered";
+  EXPECT_EQ(calls[3].connection, calls[2].connection)
+      << "the watch continues on the connection of the resync";
+  EXPECT_TRUE(calls[3].targetContains("since=2&timeout_ms=30"));
   EXPECT_TRUE(until([&] { return calls[1].connection->closedByPeer; }));
   EXPECT_EQ(receivedUids(), std::set<std::string>{"s-2"});
   EXPECT_EQ(watchFailures, 0);
 }
 
-// One to six attempts of a resync fail, in each way, before one is answered. The client retries by itself.
+// One to six attempts of a resync fail, in each way, before one is answered. The client retries without its
+// caller.
 TEST_F(DiscoveryClientTest, ResyncIsRetriedUntilItIsAnswered) {
   for (const auto& [name, fail] : kFailures)
     for (std::size_t failing = 1; failing <= 6; ++failing) {
@@ -129,17 +133,17 @@
         else if (call == 2 + failing) connection.reply(listText(2, false, {"s-2"}));
       };
       start();
-      ASSERT_TRUE(called(3 + failing));
+      ASSERT_TRUE(waitForCalls(3 + failing));
       ASSERT_TRUE(until([&] { return !receivedUids().empty(); }));
       EXPECT_FALSE(client->stale());
       EXPECT_EQ(retryFailures, static_cast<int>(failing));
-      EXPECT_EQ(watchFailures, 0) << "its user has nothing to decide";
+      EXPECT_EQ(watchFailures, 0) << "the client retries without its caller";
     }
 }
 
 // Discovery answers neither the watch nor four attempts of the resync. Each attempt times out, the old watch
-// is ended, and the list counts as stale until the fifth attempt is answered.
-TEST_F(DiscoveryClientTest, SilentResyncAttemptsTimeOutAndTheListIsStaleUntilOneIsAnswered) {
+// times out too, and the list is stale until the fifth attempt is answered.
+TEST_F(DiscoveryClientTest, ListIsStaleUntilAResyncAttemptIsAnswered) {
   timeouts.response = 20ms;
   timeouts.staleWatchLinger = 20ms;
   bool stale = true;
@@ -152,27 +156,27 @@
   ASSERT_TRUE(until([&] { return !receivedUids().empty(); }));
   EXPECT_TRUE(stale);
   EXPECT_FALSE(client->stale());
-  EXPECT_EQ(watchFailures, 0) << "also once the old watch has timed out";
+  EXPECT_EQ(watchFailures, 0) << "even after the old watch has timed out";
 }
 
-// The overdue long poll is answered after all, while the resync is out. The watch goes on on its connection,
-// and the resync is dropped.
-TEST_F(DiscoveryClientTest, LateAnswerOfTheWatchEndsTheResync) {
+// The overdue long poll is answered while the resync is pending. The watch continues on its own connection,
+// and the resync is cancelled.
+TEST_F(DiscoveryClientTest, LateAnswerOfTheWatchCancelsTheResync) {
   onCall = [&](std::size_t call, PeerConnection& connection) {
     if (call == 0) connection.reply(listText(1, false));
     if (call == 2)
-      calls[1].connection->reply(listText(2, false, {"s-2"}));  // in the moment in which it is read
+      calls[1].connection->reply(listText(2, false, {"s-2"}));  // while the server reads the resync
   };
   start();
-  ASSERT_TRUE(called(4));
-  EXPECT_EQ(calls[3].connection, calls[1].connection) << "the watch goes on where it was";
-  EXPECT_TRUE(calls[3].has("since=2&"));
-  EXPECT_TRUE(until([&] { return calls[2].connection->closedByPeer; })) << "and the resync is dropped";
+  ASSERT_TRUE(waitForCalls(4));
+  EXPECT_EQ(calls[3].connection, calls[1].connection) << "the watch continues on its connection";
+  EXPECT_TRUE(calls[3].targetContains("since=2&"));
+  EXPECT_TRUE(until([&] { return calls[2].connection->closedByPeer; })) << "the resync is cancelled";
   EXPECT_EQ(lists.size(), 2u);
 }
 
-// The resync and the overdue long poll are answered in the same moment, with different versions.
-TEST_F(DiscoveryClientTest, AnswersOfWatchAndResyncInOneMomentNeverGoBackInVersions) {
+// The resync and the overdue long poll are answered at the same moment, with different versions.
+TEST_F(DiscoveryClientTest, SimultaneousAnswersOfWatchAndResyncNeverDecreaseTheVersion) {
   onCall = [&](std::size_t call, PeerConnection& connection) {
     if (call == 0) connection.reply(listText(1, false));
     if (call != 2) return;
@@ -180,16 +184,17 @@
     calls[1].connection->reply(listText(2, false, {"s-2"}));
   };
   start();
-  ASSERT_TRUE(called(4));
-  // Which of the two is read first is up to the system; whichever it is, the watch goes on from its version
-  // and no change is told after a later one.
-  EXPECT_TRUE(calls[3].connection == calls[2].connection ? calls[3].has("since=3&")
-                                                         : calls[3].has("since=2&"));
+  ASSERT_TRUE(waitForCalls(4));
+  // The system decides which answer is read first. The watch continues from the version of that one, and no
+  // older change is delivered after a newer one.
+  EXPECT_TRUE(calls[3].connection == calls[2].connection ? calls[3].targetContains("since=3&")
+                                                         : calls[3].targetContains("since=2&"));
   for (std::size_t i = 1; i < lists.size(); ++i) EXPECT_GE(lists[i].version, lists[i - 1].version);
 }
 
-// The overdue long poll fails, in each way, while the resync is out. The resync goes on and is answered.
-TEST_F(DiscoveryClientTest, ResyncGoesOnWhenTheOverdueWatchFails) {
+// The overdue long poll fails, in each way, while the resync is pending. The resync continues and is
+// answered.
+TEST_F(DiscoveryClientTest, ResyncContinuesWhenTheOverdueWatchFails) {
   for (const auto& [name, fail] : kFailures) {
     SCOPED_TRACE(name);
     onCall = [&, broken = fail](std::size_t call, PeerConnection& connection) {
@@ -197,18 +202,19 @@
       if (call == 2) broken(*calls[1].connection);
     };
     start();
-    ASSERT_TRUE(called(3));
-    // The end of the old watch has come before this answer.
+    ASSERT_TRUE(waitForCalls(3));
+    // The old watch has ended before the resync is answered.
     ASSERT_TRUE(until([&] { return calls[1].connection->closedByPeer || !calls[1].connection->open; }));
     calls[2].connection->reply(listText(2, false, {"s-2"}));
-    ASSERT_TRUE(called(4));
+    ASSERT_TRUE(waitForCalls(4));
     EXPECT_EQ(receivedUids(), std::set<std::string>{"s-2"});
     EXPECT_EQ(watchFailures, 0);
   }
 }
 
-// The server sends a part of an answer to the long poll and then nothing more.
-TEST_F(DiscoveryClientTest, AnswerThatStopsHalfWayCountsAsSilence) {
+// The server sends part of an answer to the long poll and then stops, so the watch is overdue as if nothing
+// had been sent, and a resync replaces it.
+TEST_F(DiscoveryClientTest, IncompleteAnswerMakesTheWatchOverdue) {
   const std::string whole = listText(2, false, {"s-2"});
   for (const std::size_t bytes : {std::size_t{1}, std::size_t{17}, whole.size() / 2, whole.size() - 1}) {
     SCOPED_TRACE(bytes);
@@ -218,14 +224,14 @@
       if (call == 2) connection.reply(whole);
     };
     start();
-    ASSERT_TRUE(called(4));
+    ASSERT_TRUE(waitForCalls(4));
     EXPECT_EQ(receivedUids(), std::set<std::string>{"s-2"});
   }
 }
 
-// The server's backlog is full, so connections to it time out. Once it accepts again the list arrives.
-TEST_F(DiscoveryClientTest, ConnectionThatNeverComesUpIsRetried) {
-  // A listener with room for one connection that is not accepted: the next ones are not answered at all.
+// The server's backlog is full, so connecting to it times out. Once it accepts connections the list arrives.
+TEST_F(DiscoveryClientTest, ConnectTimeoutIsRetried) {
+  // The backlog has capacity for one connection that is not accepted. Further ones get no response at all.
   tcp::acceptor full(io);
   full.open(tcp::v4());
   full.bind(loopback());
@@ -258,27 +264,27 @@
   full.close();
 }
 
-// Sixty long polls in a row: their waits differ, so that gateways which begin together do not end together.
-TEST_F(DiscoveryClientTest, WaitOfEachLongPollIsDrawnBetweenItsBounds) {
+// Sixty consecutive long polls have different waits, so that gateways that start together do not stay in
+// step.
+TEST_F(DiscoveryClientTest, WaitOfEachLongPollIsRandomBetweenItsBounds) {
   timeouts.watchMin = 1000ms;
   timeouts.watchMax = 2000ms;
   onCall = [](std::size_t, PeerConnection& connection) { connection.reply(listText(1, false)); };
   start();
-  ASSERT_TRUE(called(60));
+  ASSERT_TRUE(waitForCalls(60));
   std::set<int> drawn;
   for (std::size_t i = 1; i < 60; ++i)
     drawn.insert(std::stoi(calls[i].target.substr(calls[i].target.find("timeout_ms=") + 11)));
   EXPECT_GE(*drawn.begin(), 1000);
   EXPECT_LE(*drawn.rbegin(), 2000);
-  EXPECT_GT(drawn.size(), 10u) << "gateways that begin together must not end together";
+  EXPECT_GT(drawn.size(), 10u) << "gateways that start together must not stay in step";
 }
 
-// --- A watch that fails with an error
-// ------------------------------------------------------------------------
+// --- A watch that fails with an error -------------------------------------------------------------------
 
-// The watch fails with an error, in each way and at each of its first calls. Its user is notified, and
+// The watch fails with an error, in each way and at each of its first calls. The caller is notified, and
 // nothing is sent until it calls watch().
-TEST_F(DiscoveryClientTest, WatchThatFailsWithAnErrorIsBegunAgainByItsUserOnly) {
+TEST_F(DiscoveryClientTest, FailedWatchIsRestartedOnlyByTheCaller) {
   for (const auto& [name, fail] : kFailures)
     for (std::size_t at = 0; at < 3; ++at) {
       SCOPED_TRACE(name + " at call " + std::to_string(at));
@@ -289,30 +295,30 @@
       };
       start();
       ASSERT_TRUE(until([&] { return watchFailures == 1; }));
-      EXPECT_EQ(calls.size(), at + 1) << "nothing is sent before";
+      EXPECT_EQ(calls.size(), at + 1) << "nothing is sent before watch() is called";
       client->watch();
-      EXPECT_TRUE(called(at + 2));
+      EXPECT_TRUE(waitForCalls(at + 2));
     }
 }
 
-// Discovery is set up anew and counts versions from the start, so its changes do not apply to the list held.
-// The client drops them and asks for the full list.
-TEST_F(DiscoveryClientTest, ChangesOfAnEarlierVersionAreDroppedAndTheFullListIsAskedFor) {
+// Discovery is set up again and counts versions from the start, so its changes do not apply to the current
+// list. The client drops them and requests the full list.
+TEST_F(DiscoveryClientTest, ChangesOfALowerVersionAreDroppedAndTheFullListIsRequested) {
   onCall = [](std::size_t call, PeerConnection& connection) {
     if (call == 0) connection.reply(listText(7, false));
-    if (call == 2) connection.reply(listText(3, false, {"s-3"}));  // set up anew, it counts from the start
+    if (call == 2) connection.reply(listText(3, false, {"s-3"}));  // set up again: versions restart
     if (call == 3) connection.reply(listText(3, true, {"s-3", "s-4"}));
   };
   start(7);
-  ASSERT_TRUE(called(5));
+  ASSERT_TRUE(waitForCalls(5));
   EXPECT_EQ(calls[3].target, "/discovery/hosts");
   EXPECT_EQ(lists.back().version, 3);
   EXPECT_TRUE(lists.back().full);
   EXPECT_EQ(lists.size(), 2u);
-  EXPECT_TRUE(calls[4].has("since=3&"));
+  EXPECT_TRUE(calls[4].targetContains("since=3&"));
 }
 
-// Its user calls watch() while a resync is out; the resync goes on and becomes the watch.
+// The caller calls watch() while a resync is pending. The resync continues and becomes the watch.
 TEST_F(DiscoveryClientTest, WatchIsIgnoredDuringAResync) {
   onCall = [&](std::size_t call, PeerConnection& connection) {
     if (call == 0) connection.reply(listText(1, false));
@@ -321,16 +327,16 @@
     connection.reply(listText(2, false, {"s-2"}));
   };
   start();
-  ASSERT_TRUE(called(4));
+  ASSERT_TRUE(waitForCalls(4));
   EXPECT_EQ(calls[3].connection, calls[2].connection);
   EXPECT_EQ(receivedUids(), std::set<std::string>{"s-2"});
 }
 
 // --- Refresh ------------------------------------------------------------------------------------
 
-// Three refreshes beside a healthy watch: one is rejected, one brings the version held, one a newer list.
-// Only the last replaces the watch.
-TEST_F(DiscoveryClientTest, RefreshIsOneAttemptAndReplacesTheWatchOnlyIfItBringsNews) {
+// Three refreshes in parallel to a healthy watch: one is rejected, one returns the current version, one a
+// newer list. Only the last replaces the watch.
+TEST_F(DiscoveryClientTest, RefreshIsOneAttemptAndReplacesTheWatchOnlyWithANewerList) {
   timeouts.watchMin = timeouts.watchMax = 60s;
   onCall = [](std::size_t call, PeerConnection& connection) {
     if (call == 0) connection.reply(listText(1, false));
@@ -339,23 +345,24 @@
     if (call == 4) connection.reply(listText(5, true, {"s-5"}));
   };
   start();
-  ASSERT_TRUE(called(2));
+  ASSERT_TRUE(waitForCalls(2));
   client->refresh();
   client->refresh();
   ASSERT_TRUE(until([&] { return refreshFailures == 1; }));
-  EXPECT_EQ(calls.size(), 3u) << "one call, however often it is asked for";
+  EXPECT_EQ(calls.size(), 3u) << "a refresh is ignored while another one is pending";
   client->refresh();
   ASSERT_TRUE(until([&] { return calls.size() == 4 && calls[3].connection->closedByPeer; }));
-  EXPECT_EQ(lists.size(), 1u) << "nothing new";
+  EXPECT_EQ(lists.size(), 1u) << "a list of the current version is not delivered";
   EXPECT_FALSE(calls[1].connection->closedByPeer);
   client->refresh();
-  ASSERT_TRUE(called(6));
+  ASSERT_TRUE(waitForCalls(6));
   EXPECT_EQ(receivedUids(), std::set<std::string>{"s-5"});
   EXPECT_EQ(calls[5].connection, calls[4].connection);
   EXPECT_TRUE(until([&] { return calls[1].connection->closedByPeer; }));
 }
 
-// --- Another server -------------------------------------------------------------------------------
+// --- Moving to another server
+// -------------------------------------------------------------------------------
 
 class DiscoveryClientMoveTest : public DiscoveryClientTest {
  public:
@@ -366,8 +373,8 @@
   void start() {
     newServerCalls.clear();
     newServers.push_back(
-        std::make_unique<Peer>(io, [this, mine = newServers.size()](PeerConnection& connection) {
-          if (mine + 1 != newServers.size()) return;
+        std::make_unique<Peer>(io, [this, serverIndex = newServers.size()](PeerConnection& connection) {
+          if (serverIndex + 1 != newServers.size()) return;
           newServerCalls.push_back({connection.shared_from_this(), connection.request.target().to_string()});
           onNewServerCall(newServerCalls.size() - 1, connection);
         }));
@@ -376,8 +383,8 @@
   void move() { client->moveTo(newServers.back()->endpoint); }
 };
 
-// A move begins at each step of the old watch (opening, long poll, resync), and up to four of its calls fail,
-// in each way. The old watch is kept until the new server has sent its full list.
+// A move starts at each step of the old watch (opening, long poll, resync), and up to four of its calls fail,
+// in each way. The old watch stays open until the new server has sent its full list.
 TEST_F(DiscoveryClientMoveTest, IsRetriedUntilTheFullListArrives) {
   for (const auto& [name, fail] : kFailures)
     for (std::size_t at = 0; at < 3; ++at)
@@ -394,7 +401,8 @@
         start();
         ASSERT_TRUE(until([&] { return newServerCalls.size() >= failing + 2; }));
         for (std::size_t i = 0; i <= failing; ++i) EXPECT_EQ(newServerCalls[i].target, "/discovery/hosts");
-        EXPECT_TRUE(newServerCalls[failing + 1].has("since=0&timeout_ms=30")) << "versions count anew";
+        EXPECT_TRUE(newServerCalls[failing + 1].targetContains("since=0&timeout_ms=30"))
+            << "from the version of the new server";
         EXPECT_EQ(receivedUids(), std::set<std::string>{"s-new"});
         EXPECT_EQ(watchFailures, 0);
         EXPECT_TRUE(until([&] {
@@ -404,36 +412,37 @@
       }
 }
 
-// While the new server has not answered, the old watch brings a change and then fails. The change is
-// delivered, the failure is not reported, and watch() does not restart the move.
-TEST_F(DiscoveryClientMoveTest, OldWatchIsKeptMeanwhileAndItsFailureIsNotReported) {
+// Before the new server answers, the old watch returns a change and then fails. The change is delivered, the
+// failure is not reported, and watch() does not restart the move.
+TEST_F(DiscoveryClientMoveTest, OldWatchDeliversChangesDuringTheMoveAndItsFailureIsNotReported) {
   timeouts.watchMin = timeouts.watchMax = 60s;
   onCall = [](std::size_t call, PeerConnection& connection) {
     if (call == 0) connection.reply(listText(1, false));
   };
   start();
-  ASSERT_TRUE(called(2));
+  ASSERT_TRUE(waitForCalls(2));
   move();
   ASSERT_TRUE(until([&] { return newServerCalls.size() == 1; }));
   calls[1].connection->reply(listText(2, false, {"s-2"}));
-  ASSERT_TRUE(called(3));
+  ASSERT_TRUE(waitForCalls(3));
   EXPECT_EQ(receivedUids(), std::set<std::string>{"s-2"});
   calls[2].connection->reset();
-  client->watch();  // ignored, since the move goes on
+  client->watch();  // ignored, since the move continues
   newServerCalls[0].connection->reply(listText(0, true, {"s-new"}));
   ASSERT_TRUE(until([&] { return newServerCalls.size() == 2; }));
-  EXPECT_EQ(newServerCalls[1].connection, newServerCalls[0].connection) << "its call was not begun again";
+  EXPECT_EQ(newServerCalls[1].connection, newServerCalls[0].connection)
+      << "the call of the move was not restarted";
   EXPECT_EQ(watchFailures, 0);
 }
 
-// The client is stopped during a move. The next watch() asks the new server.
-TEST_F(DiscoveryClientMoveTest, StoppedClientGoesOnAtTheNewServer) {
+// The client is stopped during a move. The next watch() sends its request to the new server.
+TEST_F(DiscoveryClientMoveTest, StoppedClientResumesTheMove) {
   timeouts.watchMin = timeouts.watchMax = 60s;
   onCall = [](std::size_t call, PeerConnection& connection) {
     if (call == 0) connection.reply(listText(1, false));
   };
   start();
-  ASSERT_TRUE(called(2));
+  ASSERT_TRUE(waitForCalls(2));
   move();
   ASSERT_TRUE(until([&] { return newServerCalls.size() == 1; }));
   client->stop();
@@ -443,12 +452,11 @@
   EXPECT_EQ(calls.size(), 2u);
 }
 
-// --- Lists pushed by an agent
-// -----------------------------------------------------------------------------------------------
+// --- Lists pushed by an agent ---------------------------------------------------------------------------
 
-// Lists are pushed by an agent, and the watch on it fails in each way. The client retries by itself, since
-// nobody else decides when to begin again.
-TEST_F(DiscoveryClientTest, AgentIsAskedAgainWhateverEndsTheWatch) {
+// An agent pushes the lists, and the watch on it fails in each way. The client retries without its caller,
+// which does not restart watches on agents.
+TEST_F(DiscoveryClientTest, WatchOnAnAgentIsRetriedAfterEachKindOfFailure) {
   source = DiscoveryClient::ListSource::pushed;
   for (const auto& [name, fail] : kFailures)
     for (std::size_t at = 0; at < 3; ++at) {
@@ -461,28 +469,28 @@
       };
       start();
       ASSERT_TRUE(until([&] { return !receivedUids().empty(); }));
-      EXPECT_EQ(watchFailures, 0) << "its user has nothing to decide";
+      EXPECT_EQ(watchFailures, 0) << "the client retries without its caller";
     }
 }
 
-// The agent leaves eight calls unanswered. The ninth is answered, and the watch goes on.
-TEST_F(DiscoveryClientTest, SilentAgentIsAskedUntilItIsBack) {
+// The agent leaves eight calls unanswered. The ninth is answered, and the watch continues.
+TEST_F(DiscoveryClientTest, UnresponsiveAgentIsRetriedUntilItAnswers) {
   source = DiscoveryClient::ListSource::pushed;
   timeouts.response = 20ms;
   onCall = [](std::size_t call, PeerConnection& connection) {
     if (call == 8) connection.reply(listText(2, false, {"s-2"}));  // the calls before it are never answered
   };
   start();
-  ASSERT_TRUE(called(10));
+  ASSERT_TRUE(waitForCalls(10));
   EXPECT_EQ(receivedUids(), std::set<std::string>{"s-2"});
   EXPECT_EQ(calls[9].connection, calls[8].connection);
 }
 
 // --- Stop -----------------------------------------------------------------------------------------
 
-// The client is stopped while the server reads each of its first calls. Nothing is delivered and nothing sent
-// from then on.
-TEST_F(DiscoveryClientTest, StoppedAtAnyStepItSendsNothingMore) {
+// The client is stopped while the server reads each of its first calls. From then on nothing is delivered and
+// nothing sent.
+TEST_F(DiscoveryClientTest, StopAtAnyStepEndsAllCalls) {
   for (std::size_t at = 0; at < 6; ++at) {
     SCOPED_TRACE(at);
     onCall = [&](std::size_t call, PeerConnection& connection) {
@@ -491,17 +499,17 @@
       else if (call >= 2) connection.reply(answerText(503, "", ""));
     };
     start();
-    ASSERT_TRUE(called(at + 1));
+    ASSERT_TRUE(waitForCalls(at + 1));
     const std::size_t received = lists.size();
     ASSERT_TRUE(until([&] {
       return std::all_of(calls.begin(), calls.end(),
                          [](const auto& entry) { return entry.connection->closedByPeer; });
     }));
-    // As long as a watch takes to break, and tries to come again.
-    asio::steady_timer passed(io, 100ms);
-    bool over = false;
-    passed.async_wait([&](error_code) { over = true; });
-    ASSERT_TRUE(until([&] { return over; }));
+    // Longer than a watch takes to become overdue and to be retried.
+    asio::steady_timer timer(io, 100ms);
+    bool elapsed = false;
+    timer.async_wait([&](error_code) { elapsed = true; });
+    ASSERT_TRUE(until([&] { return elapsed; }));
     EXPECT_EQ(calls.size(), at + 1);
     EXPECT_EQ(lists.size(), received);
     EXPECT_FALSE(client->stale());
--- a/tests/discovery/endpoint_list_call_test.cpp
+++ b/tests/discovery/endpoint_list_call_test.cpp
@@ -1,4 +1,5 @@
-// One call to a scripted discovery on loopback: each way to end, and the connection afterwards.
+// A call to a scripted discovery on loopback: each possible result, and the state of the connection
+// afterwards.
 #include "discovery/endpoint_list_call.hpp"
 
 #include <gtest/gtest.h>
@@ -26,20 +27,21 @@
   std::shared_ptr<EndpointListCall> call = std::make_shared<EndpointListCall>(io, server.endpoint);
   std::optional<EndpointListResult> result;
 
-  void start(std::chrono::milliseconds total = 60s) {
+  void start(std::chrono::milliseconds callTimeout = 60s) {
     result.reset();
-    call->start("/discovery/hosts", 60s, total, [this](const EndpointListResult& ended) { result = ended; });
-    EXPECT_FALSE(result) << "never from within start()";
+    call->start("/discovery/hosts", 60s, callTimeout,
+                [this](const EndpointListResult& received) { result = received; });
+    EXPECT_FALSE(result) << "the callback must not be called from within start()";
   }
-  EndpointListResult run(std::chrono::milliseconds total = 60s) {
-    start(total);
+  EndpointListResult run(std::chrono::milliseconds callTimeout = 60s) {
+    start(callTimeout);
     EXPECT_TRUE(until([this] { return result.has_value(); }));
     return result.value_or(EndpointListFailure::timedOut);
   }
   static std::string listAnswer() { return answerText(200, "", R"({"rev":3,"targets":[]})"); }
 };
 
-TEST_F(EndpointListCallTest, BringsAListAndKeepsTheConnection) {
+TEST_F(EndpointListCallTest, ReturnsAListAndKeepsTheConnectionOpen) {
   onRequest = [](PeerConnection& connection) { connection.reply(listAnswer()); };
   for (int i = 0; i < 2; ++i) {
     const EndpointListResult ended = run();
@@ -51,7 +53,7 @@
   EXPECT_EQ(server.connections.size(), 1u);
 }
 
-TEST_F(EndpointListCallTest, ClosesTheConnectionIfTheServerWantsThat) {
+TEST_F(EndpointListCallTest, ClosesTheConnectionIfTheServerRequestsIt) {
   onRequest = [](PeerConnection& connection) {
     connection.reply(answerText(200, "Connection: close\r\n", R"({"rev":3,"targets":[]})"));
   };
@@ -59,7 +61,7 @@
   EXPECT_FALSE(call->reusable());
 }
 
-TEST_F(EndpointListCallTest, TellsTheKindsOfFailureApart) {
+TEST_F(EndpointListCallTest, DistinguishesTheKindsOfFailure) {
   struct Case {
     const char* name;
     std::function<void(PeerConnection&)> onRequest;
@@ -72,16 +74,16 @@
        EndpointListFailure::connectionFailed},
       {"closed", [](PeerConnection& connection) { connection.close(); },
        EndpointListFailure::connectionFailed},
-      {"half an answer",
+      {"incomplete answer",
        [](PeerConnection& connection) {
          connection.reply("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{", true);
        },
        EndpointListFailure::connectionFailed},
-      {"no HTTP", [](PeerConnection& connection) { connection.reply("no answer at all\r\n\r\n"); },
+      {"not HTTP", [](PeerConnection& connection) { connection.reply("no answer at all\r\n\r\n"); },
        EndpointListFailure::malformed},
-      {"no JSON", [](PeerConnection& connection) { connection.reply(answerText(200, "", "{")); },
+      {"not JSON", [](PeerConnection& connection) { connection.reply(answerText(200, "", "{")); },
        EndpointListFailure::malformed},
-      {"no list",
+      {"not a list",
        [](PeerConnection& connection) { connection.reply(answerText(200, "", "{\"rev\":\"x\"}")); },
        EndpointListFailure::malformed},
   };
@@ -93,20 +95,20 @@
   }
 }
 
-TEST_F(EndpointListCallTest, SilenceEndsItByItsTime) {
+TEST_F(EndpointListCallTest, TimesOutWithoutAnAnswer) {
   EXPECT_EQ(failureOf(run(20ms)), EndpointListFailure::timedOut);
   EXPECT_FALSE(call->reusable());
 }
 
-TEST_F(EndpointListCallTest, ARefusedConnectionHasFailed) {
+TEST_F(EndpointListCallTest, RefusedConnectionIsAConnectionFailure) {
   const ReservedPort nobody(io);
   call = std::make_shared<EndpointListCall>(io, nobody.endpoint);
   EXPECT_EQ(failureOf(run()), EndpointListFailure::connectionFailed);
 }
 
-// A call is cancelled while the server's answer is on its way, and its last pointer is released. It brings no
-// result, and the server sees its connection close.
-TEST_F(EndpointListCallTest, CancelledItBringsNoResult) {
+// A call is cancelled while the server sends its answer, and the last pointer to it is released. Its callback
+// is not called, and the connection is closed.
+TEST_F(EndpointListCallTest, CancelledCallReturnsNoResult) {
   bool answered = false;
   onRequest = [&](PeerConnection& connection) {
     connection.reply(listAnswer());
--- a/tests/discovery/endpoint_list_test.cpp
+++ b/tests/discovery/endpoint_list_test.cpp
@@ -1,3 +1,4 @@
+// Parsing and writing endpoint lists in discovery's JSON format, and the errors of lists that are malformed.
 #include "discovery/endpoint_list.hpp"
 
 #include <gtest/gtest.h>
@@ -40,7 +41,7 @@
   EXPECT_EQ(endpoint.bootMs, 1234);
 }
 
-TEST(EndpointListTest, OptionalFieldsHaveTheirDefaults) {
+TEST(EndpointListTest, MissingOptionalFieldsHaveTheirDefaults) {
   const EndpointList list = parseEndpointList(
       {{"rev", 1}, {"targets", {{{"uid", "s"}, {"state", "SERVING"}, {"endpoint", "::1:1"}}}}});
   EXPECT_FALSE(list.full);
@@ -51,7 +52,7 @@
   EXPECT_EQ(list.endpoints[0].bootMs, 0);
 }
 
-TEST(EndpointListTest, OnlyAnEndpointThatIsGoneNeedsNoAddress) {
+TEST(EndpointListTest, OnlyADeletedEndpointNeedsNoAddress) {
   json endpoint = entry();
   endpoint.erase("endpoint");
   endpoint["state"] = "DELETED";
@@ -62,59 +63,59 @@
   }
 }
 
-TEST(EndpointListTest, WritesWhatItReads) {
+TEST(EndpointListTest, WrittenListIsParsedToTheSameList) {
   for (const auto state : {DiscoveredState::serving, DiscoveredState::draining, DiscoveredState::gone}) {
     EndpointList list = parseEndpointList(document(entry()));
     list.endpoints[0].state = state;
-    const EndpointList again = parseEndpointList(toJson(list));
-    EXPECT_EQ(again.version, list.version);
-    EXPECT_EQ(again.full, list.full);
-    ASSERT_EQ(again.endpoints.size(), 1u);
-    EXPECT_EQ(again.endpoints[0].state, state);
-    EXPECT_EQ(again.endpoints[0].uid, "s-1");
-    EXPECT_EQ(again.endpoints[0].endpoint, list.endpoints[0].endpoint);
-    EXPECT_EQ(again.endpoints[0].bootMs, 1234);
+    const EndpointList parsed = parseEndpointList(toJson(list));
+    EXPECT_EQ(parsed.version, list.version);
+    EXPECT_EQ(parsed.full, list.full);
+    ASSERT_EQ(parsed.endpoints.size(), 1u);
+    EXPECT_EQ(parsed.endpoints[0].state, state);
+    EXPECT_EQ(parsed.endpoints[0].uid, "s-1");
+    EXPECT_EQ(parsed.endpoints[0].endpoint, list.endpoints[0].endpoint);
+    EXPECT_EQ(parsed.endpoints[0].bootMs, 1234);
   }
 }
 
-struct BadField {
+struct InvalidField {
   const char* field;
   json value;
   const char* expected;
   const char* found;
 };
 
-// Each field in turn has a value of a wrong kind: the error names the field, what belongs there and what was
-// found.
-TEST(EndpointListTest, ErrorsNameTheFieldAndWhatWasExpectedAndFound) {
-  const std::vector<BadField> bad = {{"uid", "", "a text that is not empty", "\"\""},
-                                     {"uid", 5, "a text", "5"},
-                                     {"state", "ASLEEP", "SERVING, DRAINING or DELETED", "\"ASLEEP\""},
-                                     {"endpoint", "10.0.0.1", "address:port", "\"10.0.0.1\""},
-                                     {"az", json::array(), "a text", "array"},
-                                     {"capacity_hint", "much", "a number", "\"much\""},
-                                     {"boot_ms", json::object(), "a number", "object"}};
-  for (const BadField& wrong : bad) {
+// Each field in turn has an invalid value. The error names the field, the expected value and the value found.
+TEST(EndpointListTest, ErrorNamesTheFieldTheExpectedAndTheFoundValue) {
+  const std::vector<InvalidField> invalidValues = {
+      {"uid", "", "a text that is not empty", "\"\""},
+      {"uid", 5, "a text", "5"},
+      {"state", "ASLEEP", "SERVING, DRAINING or DELETED", "\"ASLEEP\""},
+      {"endpoint", "10.0.0.1", "address:port", "\"10.0.0.1\""},
+      {"az", json::array(), "a text", "array"},
+      {"capacity_hint", "much", "a number", "\"much\""},
+      {"boot_ms", json::object(), "a number", "object"}};
+  for (const InvalidField& invalid : invalidValues) {
     json endpoint = entry();
-    endpoint[wrong.field] = wrong.value;
+    endpoint[invalid.field] = invalid.value;
     try {
       parseEndpointList(document(endpoint));
-      ADD_FAILURE() << wrong.field << " was taken";
+      ADD_FAILURE() << invalid.field << " was accepted";
     } catch (const EndpointListError& error) {
-      EXPECT_EQ(error.field(), std::string("targets[0].") + wrong.field);
-      EXPECT_EQ(error.expected(), wrong.expected);
-      EXPECT_EQ(error.found(), wrong.found);
-      EXPECT_EQ(std::string(error.what()),
-                "host list: " + error.field() + ": expected " + wrong.expected + ", found " + wrong.found);
+      EXPECT_EQ(error.field(), std::string("targets[0].") + invalid.field);
+      EXPECT_EQ(error.expected(), invalid.expected);
+      EXPECT_EQ(error.found(), invalid.found);
+      EXPECT_EQ(std::string(error.what()), "host list: " + error.field() + ": expected " + invalid.expected +
+                                               ", found " + invalid.found);
     }
   }
 }
 
-TEST(EndpointListTest, DocumentWithoutItsFieldsIsRejected) {
-  for (const json& bad : {json::array(), json(5), json(nullptr), json::object(), json{{"rev", 1}},
-                          json{{"targets", json::array()}}, json{{"rev", 1}, {"targets", 5}},
-                          json{{"rev", 1}, {"all", "yes"}, {"targets", json::array()}}})
-    EXPECT_TRUE(isRejected(bad)) << bad;
+TEST(EndpointListTest, DocumentWithMissingOrInvalidFieldsIsRejected) {
+  for (const json& invalid : {json::array(), json(5), json(nullptr), json::object(), json{{"rev", 1}},
+                              json{{"targets", json::array()}}, json{{"rev", 1}, {"targets", 5}},
+                              json{{"rev", 1}, {"all", "yes"}, {"targets", json::array()}}})
+    EXPECT_TRUE(isRejected(invalid)) << invalid;
 }
 
 }  // namespace
--- a/tests/discovery/list_request_test.cpp
+++ b/tests/discovery/list_request_test.cpp
@@ -1,3 +1,4 @@
+// The targets and timeouts of the requests to discovery.
 #include "discovery/list_request.hpp"
 
 #include <gtest/gtest.h>
@@ -7,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(ListRequestTest, FullListHasNoQueryAndDoesNotWait) {
+TEST(ListRequestTest, FullListRequestHasNoQueryAndDoesNotWait) {
   const DiscoveryTimeouts timeouts;
   const ListRequest request = fullListRequest(timeouts);
   EXPECT_EQ(request.kind, CallKind::fullList);
@@ -15,7 +16,7 @@
   EXPECT_EQ(request.timeout, timeouts.response + 1ms);
 }
 
-TEST(ListRequestTest, ChangesNameTheVersionHeldAndTheShortestWait) {
+TEST(ListRequestTest, ChangesRequestHasTheVersionAndTheMinimumWait) {
   const DiscoveryTimeouts timeouts;
   const ListRequest request = changesRequest(17, timeouts);
   EXPECT_EQ(request.kind, CallKind::changesNow);
@@ -23,7 +24,7 @@
   EXPECT_EQ(request.timeout, timeouts.response + 1ms);
 }
 
-TEST(ListRequestTest, LongPollMayBeAnsweredPastItsWait) {
+TEST(ListRequestTest, LongPollTimesOutAfterItsWaitAndTheLinger) {
   const DiscoveryTimeouts timeouts;
   const ListRequest request = longPollRequest(0, 1500ms, timeouts);
   EXPECT_EQ(request.kind, CallKind::longPoll);
@@ -31,16 +32,16 @@
   EXPECT_EQ(request.timeout, 1500ms + timeouts.staleWatchLinger);
 }
 
-TEST(ListRequestTest, OpeningAsksForTheFullListOnlyWithoutAVersion) {
+TEST(ListRequestTest, OpeningRequestsTheFullListOnlyWithoutAVersion) {
   EXPECT_EQ(openingRequest(std::nullopt, {}).kind, CallKind::fullList);
   EXPECT_EQ(openingRequest(0, {}).kind, CallKind::changesNow);
 }
 
-TEST(ListRequestTest, OnlyAFullListAnswersARequestForOne) {
-  EXPECT_FALSE(answers(CallKind::fullList, {1, false, {}}));
-  EXPECT_TRUE(answers(CallKind::fullList, {1, true, {}}));
-  EXPECT_TRUE(answers(CallKind::changesNow, {1, false, {}}));
-  EXPECT_TRUE(answers(CallKind::longPoll, {1, true, {}}));
+TEST(ListRequestTest, FullListRequestNeedsAFullList) {
+  EXPECT_FALSE(isValidAnswer(CallKind::fullList, {1, false, {}}));
+  EXPECT_TRUE(isValidAnswer(CallKind::fullList, {1, true, {}}));
+  EXPECT_TRUE(isValidAnswer(CallKind::changesNow, {1, false, {}}));
+  EXPECT_TRUE(isValidAnswer(CallKind::longPoll, {1, true, {}}));
 }
 
 }  // namespace
--- a/tests/discovery/retrying_call_test.cpp
+++ b/tests/discovery/retrying_call_test.cpp
@@ -1,4 +1,4 @@
-// A call that is retried, on a scripted discovery on loopback: its states, its connection, its backoff.
+// A retried call to a scripted discovery on loopback: its states, its connection, its backoff.
 #include "discovery/retrying_call.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   DiscoveryTimeouts timeouts = shortBackoff();
   RandomDuration random{1};
   RetryingCall call{io, timeouts, random};
-  std::vector<State> states;  // of the call, as each attempt ends
+  std::vector<State> states;  // of the call, in the callback of each attempt
   std::optional<EndpointList> list;
 
   static DiscoveryTimeouts shortBackoff() {
@@ -31,7 +31,7 @@
     timeouts.retryInitialBackoff = timeouts.retryMaxBackoff = 1ms;
     return timeouts;
   }
-  // Sends attempts until one is answered.
+  // Sends attempts until one returns a list.
   void send() {
     call.send(server.endpoint, fullListRequest(timeouts), [this](const EndpointListResult& result) {
       states.push_back(call.state());
@@ -42,7 +42,7 @@
   static std::string listAnswer() { return answerText(200, "", R"({"rev":3,"all":true,"targets":[]})"); }
 };
 
-TEST_F(RetryingCallTest, IsRetriedOnNewConnectionsUntilItIsAnswered) {
+TEST_F(RetryingCallTest, RetriesOnNewConnectionsUntilItIsAnswered) {
   onRequest = [](std::size_t number, PeerConnection& connection) {
     connection.reply(number < 3 ? answerText(503, "", "") : listAnswer());
   };
@@ -56,7 +56,7 @@
   EXPECT_EQ(call.state(), State::idle);
 }
 
-TEST_F(RetryingCallTest, ItsConnectionCanBeTakenOverAfterAnAnswer) {
+TEST_F(RetryingCallTest, ConnectionCanBeReleasedAfterAnAnswer) {
   onRequest = [](std::size_t, PeerConnection& connection) { connection.reply(listAnswer()); };
   send();
   ASSERT_TRUE(until([this] { return list.has_value(); }));
@@ -67,9 +67,9 @@
   EXPECT_EQ(call.releaseConnection(), nullptr);
 }
 
-// The call is cancelled once while its attempt is pending and once while it backs off. Nothing more is sent,
-// and the next one can be begun.
-TEST_F(RetryingCallTest, CancelledInEitherStateItSendsNothingMore) {
+// The call is cancelled once while an attempt is pending and once during the backoff. Nothing more is sent,
+// and the call can be started again.
+TEST_F(RetryingCallTest, CancelDuringAnAttemptOrTheBackoffSendsNothingMore) {
   send();
   ASSERT_TRUE(until([this] { return requests.size() == 1; }));
   call.cancel();
@@ -82,12 +82,12 @@
   const std::size_t sent = requests.size();
   call.cancel();
   EXPECT_EQ(call.state(), State::idle);
-  asio::steady_timer passed(io, 30ms);  // far more than the backoff
-  bool over = false;
-  passed.async_wait([&](error_code) { over = true; });
-  ASSERT_TRUE(until([&] { return over; }));
+  asio::steady_timer timer(io, 30ms);  // far longer than the backoff
+  bool elapsed = false;
+  timer.async_wait([&](error_code) { elapsed = true; });
+  ASSERT_TRUE(until([&] { return elapsed; }));
   EXPECT_EQ(requests.size(), sent);
-  EXPECT_EQ(states.size(), 1u) << "the first attempt was cancelled without a callback";
+  EXPECT_EQ(states.size(), 1u) << "cancelling the first attempt does not call its callback";
 
   onRequest = [](std::size_t, PeerConnection& connection) { connection.reply(listAnswer()); };
   send();
--- a/tests/discovery/timeouts_test.cpp
+++ b/tests/discovery/timeouts_test.cpp
@@ -1,4 +1,4 @@
-// The relations between the times of the client of discovery that its promises rest on.
+// The relations between the timeouts of the discovery client that its guarantees depend on.
 #include "discovery/timeouts.hpp"
 
 #include <gtest/gtest.h>
@@ -10,24 +10,25 @@
 
 using namespace std::chrono_literals;
 
-TEST(DiscoveryTimeoutsTest, AgentThatIsBackIsAskedWithinAQuarterOfASecond) {
+TEST(DiscoveryTimeoutsTest, RecoveredAgentGetsARequestWithin250Milliseconds) {
   const DiscoveryTimeouts timeouts = DiscoveryTimeouts{}.forAgent();
   EXPECT_LE(timeouts.connect, timeouts.response);
   EXPECT_LT(timeouts.response + timeouts.retryMaxBackoff + timeouts.retryMaxBackoff / 2, 250ms);
 }
 
-// What an overdue watch misses counts as notified 6 s after the silence began, or 2 s past its wait. Until
-// then a silent watch is detected, whenever it breaks, and a rejected attempt leaves time for others.
-TEST(DiscoveryTimeoutsTest, SilentWatchLeavesTimeForRetries) {
+// A change that an overdue watch misses counts as notified 6 s after the watch became unresponsive, or 2 s
+// after the end of its wait, whichever is later. By then an unresponsive watch is detected, whenever it
+// breaks, with time left to retry after a rejected attempt.
+TEST(DiscoveryTimeoutsTest, UnresponsiveWatchIsDetectedWithTimeLeftForRetries) {
   const DiscoveryTimeouts timeouts;
-  const auto countsAsNotified = std::max<std::chrono::milliseconds>(6s, timeouts.watchMax + 2s);
-  const auto detected = timeouts.watchMax + timeouts.watchGrace;
-  EXPECT_GE(countsAsNotified - detected, 3s) << "three calls of a discovery that works through one a second";
-  EXPECT_GE(countsAsNotified - detected, timeouts.response + timeouts.retryInitialBackoff * 3 / 2 + 1s)
-      << "one that times out, and another";
+  const auto notifiedDeadline = std::max<std::chrono::milliseconds>(6s, timeouts.watchMax + 2s);
+  const auto detectionTime = timeouts.watchMax + timeouts.watchGrace;
+  EXPECT_GE(notifiedDeadline - detectionTime, 3s) << "three calls to a discovery that handles one per second";
+  EXPECT_GE(notifiedDeadline - detectionTime, timeouts.response + timeouts.retryInitialBackoff * 3 / 2 + 1s)
+      << "an attempt that times out, and another one";
 }
 
-TEST(DiscoveryTimeoutsTest, AgentNeverGetsLongerTimesThanDiscovery) {
+TEST(DiscoveryTimeoutsTest, AgentTimeoutsAreNeverLongerThanThoseOfDiscovery) {
   DiscoveryTimeouts timeouts;
   timeouts.connect = 20ms;
   timeouts.response = 40ms;
