--- a/src/config/bad_config.hpp
+++ b/src/config/bad_config.hpp
@@ -1,10 +1,11 @@
+// The exception for an invalid configuration.
 #pragma once
 
 #include <stdexcept>
 
 namespace cairnjunction {
 
-// A configuration that can't be used: one line that names the key and says what is wrong with it.
+// A configuration that cannot be used. what() is one line that names the key and the fault.
 struct BadConfig : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -10,7 +10,7 @@
 namespace cairnjunction {
 namespace {
 
-using json_fields::part;
+using json_fields::objectField;
 using json_fields::read;
 using json_fields::requirePositive;
 using nlohmann::json;
@@ -22,7 +22,8 @@
   std::uint64_t seed = 0;
   const char* last = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data(), last, seed, 16);
-  if (error != std::errc{} || end != last) throw BadConfig("seed: '" + text + "' is no hexadecimal number");
+  if (error != std::errc{} || end != last)
+    throw BadConfig("seed: '" + text + "' is not a hexadecimal number");
   return seed;
 }
 
@@ -30,18 +31,18 @@
   int descriptor = -1;
   const char* last = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data(), last, descriptor);
-  if (error != std::errc{} || end != last || descriptor < 3)  // beyond the standard streams
-    throw BadConfig("GW_ACCEPT_FD: '" + text + "' is no descriptor of an inherited socket");
+  if (error != std::errc{} || end != last || descriptor < 3)  // 0 to 2 are the standard streams
+    throw BadConfig("GW_ACCEPT_FD: '" + text + "' is not a file descriptor of an inherited socket");
   return descriptor;
 }
 
-// What may stand in a variable and in the file.
-class Entries {
+// Reads entries that an environment variable or the file may set.
+class EntryReader {
  public:
-  Entries(const json& config, const Environment& environment, Reading reading)
+  EntryReader(const json& config, const Environment& environment, Reading reading)
       : config_(config), environment_(environment), reading_(reading) {}
 
-  // Empty if it stands in neither.
+  // The value of the entry `name` or of `variable`, by Reading; empty if neither is set.
   std::string text(const char* name, const char* variable) const {
     const char* value = environment_(variable);
     if (value && (reading_ == Reading::atStart || !config_.contains(name))) return value;
@@ -49,6 +50,7 @@
     read(config_, name, text);
     return text;
   }
+  // The same as an address and a port. Throws BadConfig if neither is set or the value is malformed.
   tcp::endpoint endpoint(const char* name, const char* variable) const {
     const std::string address = text(name, variable);
     if (address.empty()) throw BadConfig(std::string(variable) + " is not set");
@@ -65,8 +67,8 @@
   Reading reading_;
 };
 
-policy::Settings readModule(const json& config) {
-  policy::Settings settings = readPolicySettings(part(config, "settings"));
+policy::Settings readDecisionSettings(const json& config) {
+  policy::Settings settings = readPolicySettings(objectField(config, "settings"));
   std::string seed;
   read(config, "seed", seed);
   if (!seed.empty()) settings.seed = readSeed(seed);
@@ -78,7 +80,7 @@
   requirePositive(limits, "memory_mb");
   read(limits, "memory_mb", config.memoryMb);
   if (config.sockets < kMinSockets)
-    throw BadConfig("sockets: at least " + std::to_string(kMinSockets) + " are needed");
+    throw BadConfig("sockets: must be at least " + std::to_string(kMinSockets));
 }
 
 std::optional<EndpointList> readKnown(const json& config) {
@@ -90,7 +92,7 @@
   }
 }
 
-// The decision module checks its own settings.
+// Throws BadConfig if the decision module, which checks its settings itself, rejects them.
 void requireAccepted(const policy::Settings& settings) {
   try {
     const policy::LoadBalancer probe(settings, policy::Timestamp{});
@@ -102,18 +104,18 @@
 }  // namespace
 
 Config parseConfig(const json& document, const Environment& environment, Reading reading) {
-  if (!document.is_object()) throw BadConfig("the configuration is no object");
-  const Entries entries(document, environment, reading);
+  if (!document.is_object()) throw BadConfig("the configuration is not a JSON object");
+  const EntryReader entries(document, environment, reading);
   Config config;
   config.name = entries.text("name", "GW_NAME");
   config.listen = entries.endpoint("listen", "GW_LISTEN");
   config.discovery = entries.endpoint("discovery", "GW_DISCOVERY");
   if (!entries.text("mgmt", "GW_MGMT").empty()) config.mgmt = entries.endpoint("mgmt", "GW_MGMT");
   if (const char* descriptor = environment("GW_ACCEPT_FD")) config.acceptFd = readDescriptor(descriptor);
-  config.module = readModule(document);
-  readLimits(part(document, "limits"), config);
+  config.module = readDecisionSettings(document);
+  readLimits(objectField(document, "limits"), config);
   config.connectTimeout = kDefaultConnectTimeout;
-  read(part(part(document, "settings"), "ceilings"), "connectTimeoutNs", config.connectTimeout);
+  read(objectField(objectField(document, "settings"), "ceilings"), "connectTimeoutNs", config.connectTimeout);
   config.known = readKnown(document);
   requireAccepted(config.module);
   config.shape = shapeOf(document);
@@ -126,7 +128,7 @@
   std::ifstream file(path);
   if (!file) throw BadConfig(std::string("cannot read ") + path);
   const json parsed = json::parse(file, nullptr, false);
-  if (parsed.is_discarded()) throw BadConfig(std::string(path) + " holds no JSON");
+  if (parsed.is_discarded()) throw BadConfig(std::string(path) + " is not valid JSON");
   return parseConfig(parsed, environment, reading);
 }
 
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,5 +1,5 @@
-// The configuration of the gateway, read at its start and by SIGHUP: GW_* variables and a JSON file, as typed
-// settings.
+// The gateway's configuration as typed settings, read from GW_* environment variables and a JSON file at the
+// start and again at SIGHUP.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -21,30 +21,31 @@
 
 struct Config {
   std::string name;                   // of this gateway; may be empty
-  tcp::endpoint listen;               // for clients
-  tcp::endpoint discovery;            // where lists of endpoints come from
-  std::optional<tcp::endpoint> mgmt;  // of the admin server; absent: none
-  int acceptFd = -1;                  // the clients' listener, if it was inherited; else -1
-  std::size_t sockets = 1024;         // file descriptors that the process may hold; at least 64
-  std::size_t memoryMb = 192;         // beyond it the process is killed
+  tcp::endpoint listen;               // address for clients
+  tcp::endpoint discovery;            // address of the server that sends endpoint lists
+  std::optional<tcp::endpoint> mgmt;  // address of the admin server; empty: no admin server
+  int acceptFd = -1;                  // file descriptor of an inherited listener for clients; -1: none
+  std::size_t sockets = 1024;         // limit of the process's open file descriptors; at least 64
+  std::size_t memoryMb = 192;         // memory above which the process is killed, in MB
   policy::Duration connectTimeout{};  // for a new connection to an endpoint
-  policy::Settings module;            // of the decision module, which has accepted them
-  std::optional<EndpointList> known;  // the list as last held; may be old
-  ConfigShape shape;                  // of the file
+  policy::Settings module;            // of the decision module, which has validated them
+  std::optional<EndpointList> known;  // the last known endpoint list; may be outdated
+  ConfigShape shape;                  // the keys of the file
 };
 
-using Environment = std::function<const char*(const char*)>;  // as getenv
+// Returns the value of an environment variable, or null if it is not set, as getenv does.
+using Environment = std::function<const char*(const char*)>;
 
-// Which of a variable and the file's entry counts.
+// Which takes precedence if both a variable and the file's entry are set.
 enum class Reading {
-  atStart,  // the variable, if it is set
-  again  // the file's entry, if it is there: a running process keeps the variables that it was started with,
-         // so the file is the newer word
+  atStart,  // the variable
+  again  // the file's entry: a running process keeps the variables that it was started with, so the file is
+         // newer
 };
 
-// Reads the file that GW_CONFIG names. Throws BadConfig.
+// Reads the file whose path is in GW_CONFIG. Throws BadConfig.
 Config readConfig(const Environment& environment, Reading reading = Reading::atStart);
-// Reads a file's content. Throws BadConfig.
+// Reads the parsed content of such a file. Throws BadConfig.
 Config parseConfig(const nlohmann::json& document, const Environment& environment,
                    Reading reading = Reading::atStart);
 
--- a/src/config/config_shape.cpp
+++ b/src/config/config_shape.cpp
@@ -12,8 +12,8 @@
 
 void addKeys(const json& object, const std::string& path, ConfigShape& shape) {
   for (const auto& [key, value] : object.items()) {
-    const bool comesAndGoes = path.empty() && (key == "known" || key == "seed");
-    if (comesAndGoes) continue;
+    const bool mayBeAbsent = path.empty() && (key == "known" || key == "seed");
+    if (mayBeAbsent) continue;
     shape.push_back(path + key);
     if (value.is_object()) addKeys(value, path + key + "/", shape);
   }
@@ -38,10 +38,10 @@
   return shape;
 }
 
-void requireShape(const ConfigShape& inForce, const ConfigShape& next) {
-  for (const std::string& key : inForce)
+void requireShape(const ConfigShape& active, const ConfigShape& next) {
+  for (const std::string& key : active)
     if (!std::binary_search(next.begin(), next.end(), key))
-      throw BadConfig("'" + key + "' is missing, which the file in force has");
+      throw BadConfig("'" + key + "' is missing, but the active configuration has it");
 }
 
 }  // namespace cairnjunction
--- a/src/config/config_shape.hpp
+++ b/src/config/config_shape.hpp
@@ -1,4 +1,4 @@
-// Which keys a configuration file has, so that one that is read again can't silently lose some.
+// The keys of a configuration file, used to reject a reloaded file that lacks a key of the active one.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -7,15 +7,16 @@
 
 namespace cairnjunction {
 
-// The keys of a file's objects, as paths with '/' between them, sorted; of its classes those that all of them
-// have. Without what may come and go: the known endpoints and the seed.
+// The keys of all objects of a file, as paths separated by '/', sorted. Of the request classes it has only
+// the keys that every class has. The keys of the known endpoints and of the seed are left out, since they may
+// be absent.
 using ConfigShape = std::vector<std::string>;
 
-// Of a configuration that was read, so that it has its classes.
+// Expects a document that parseConfig() accepted, which has at least one request class.
 ConfigShape shapeOf(const nlohmann::json& config);
 
-// Throws BadConfig that names a key of the file in force which the next one lacks: it would fall back to a
-// default that nobody wrote.
-void requireShape(const ConfigShape& inForce, const ConfigShape& next);
+// Throws BadConfig if `next` lacks a key of `active`, and names that key. Without this check the setting
+// would silently fall back to its default.
+void requireShape(const ConfigShape& active, const ConfigShape& next);
 
 }  // namespace cairnjunction
--- a/src/config/json_fields.cpp
+++ b/src/config/json_fields.cpp
@@ -4,7 +4,7 @@
 
 using nlohmann::json;
 
-const json& part(const json& object, const char* name) {
+const json& objectField(const json& object, const char* name) {
   static const json none = json::object();
   const auto it = object.find(name);
   if (it == object.end()) return none;
--- a/src/config/json_fields.hpp
+++ b/src/config/json_fields.hpp
@@ -1,4 +1,5 @@
-// Reading the fields of a JSON object into typed settings. All throw BadConfig, which names the field.
+// Reads the fields of a JSON object into typed settings. read(), objectField() and requirePositive() throw
+// BadConfig that names the field.
 #pragma once
 
 #include <cstdint>
@@ -12,9 +13,10 @@
 
 namespace cairnjunction::json_fields {
 
-// Durations stand in the file as nanoseconds.
+// Converts a field to `Value`; a duration is a number of nanoseconds. Throws BadConfig for a number out of
+// range, and nlohmann::json::exception for another type.
 template <class Value>
-Value valueOf(const nlohmann::json& field) {
+Value convert(const nlohmann::json& field) {
   if constexpr (std::is_same_v<Value, policy::Duration>) return Value(field.get<std::int64_t>());
   else if constexpr (std::is_same_v<Value, std::uint32_t>) {
     const auto number = field.get<std::int64_t>();
@@ -29,16 +31,16 @@
   const auto it = object.find(name);
   if (it == object.end() || it->is_null()) return;
   try {
-    into = valueOf<Value>(*it);
+    into = convert<Value>(*it);
   } catch (const std::exception& bad) {
     throw BadConfig(std::string(name) + ": " + bad.what());
   }
 }
 
-// The object `name`; an empty one if it is missing.
-const nlohmann::json& part(const nlohmann::json& object, const char* name);
+// Returns the object in the field `name`; an empty object if the field is missing.
+const nlohmann::json& objectField(const nlohmann::json& object, const char* name);
 
-// Throws unless `name` is missing or a number above 0.
+// Throws unless the field `name` is missing or is a number above 0.
 void requirePositive(const nlohmann::json& object, const char* name);
 
 }  // namespace cairnjunction::json_fields
--- a/src/config/policy_settings.cpp
+++ b/src/config/policy_settings.cpp
@@ -10,7 +10,7 @@
 namespace cairnjunction {
 namespace {
 
-using json_fields::part;
+using json_fields::objectField;
 using json_fields::read;
 using json_fields::requirePositive;
 using nlohmann::json;
@@ -37,7 +37,7 @@
 }
 
 policy::ClassSettings readClass(const json& grade) {
-  if (!grade.is_object()) throw BadConfig("grades: an entry is no object");
+  if (!grade.is_object()) throw BadConfig("grades: each entry must be an object");
   requirePositive(grade, "aimNs");
   requirePositive(grade, "giveUpNs");
   policy::ClassSettings result;
@@ -54,11 +54,11 @@
   read(grade, "effect", effect);
   read(grade, "group", group);
   result.idempotency = idempotencyOf(effect);
-  // Endpoints that drop repeats for no time at all drop none, and a retry could run the request twice.
+  // With a window of 0, endpoints would drop no repeats, and a retry could run the request twice.
   if (result.idempotency == policy::Idempotency::keyed && result.dedupWindow <= Duration{})
-    throw BadConfig("windowNs: class '" + result.name + "' has its repeats dropped, so it needs one above 0");
+    throw BadConfig("windowNs: must be above 0 for class '" + result.name + "', whose effect is dedup");
   result.dedupScope = dedupScopeOf(group);
-  // An empty list allows nothing; a missing one allows all.
+  // An empty list allows none; a missing list allows all.
   if (grade.contains("staysIn")) result.allowedZones = readNames(grade, "staysIn");
   if (grade.contains("boundTo")) result.allowedMachineKinds = readNames(grade, "boundTo");
   result.clientTimeout = std::max(result.clientTimeout, result.latencyObjective);
@@ -69,12 +69,12 @@
   for (std::size_t i = 0; i < classes.size(); ++i)
     for (std::size_t j = 0; j < i; ++j)
       if (classes[i].name == classes[j].name)
-        throw BadConfig("grades: '" + classes[i].name + "' stands there twice");
+        throw BadConfig("grades: '" + classes[i].name + "' is listed twice");
 }
 
 void readClasses(const json& settings, policy::Settings& result) {
   const auto grades = settings.find("grades");
-  if (grades == settings.end() || !grades->is_array()) throw BadConfig("grades: missing or no list");
+  if (grades == settings.end() || !grades->is_array()) throw BadConfig("grades: missing or not a list");
   for (const json& grade : *grades) result.classes.push_back(readClass(grade));
   requireDistinctNames(result.classes);
 }
@@ -104,7 +104,7 @@
     throw BadConfig("registryMode: '" + registryMode + "' is neither ask nor push");
   result.pollDiscovery = registryMode == "ask";
   result.loadReports = weights == "live";
-  read(part(settings, "domain"), "warmKeys", result.keyAffinity);
+  read(objectField(settings, "domain"), "warmKeys", result.keyAffinity);
 }
 
 void readCeilings(const json& ceilings, policy::Settings& result) {
@@ -115,8 +115,8 @@
   read(ceilings, "maxAttempts", result.maxAttempts);
   read(ceilings, "idleCloseNs", result.idleTimeout);
   read(ceilings, "maxRetryAfterNs", result.maxRetryAfter);
-  // A connection carries one request at a time on sockets, whatever the simulator's setting says. With more,
-  // the decision module would take a busy connection for a free one.
+  // On sockets a connection carries one request at a time, independent of the simulator's setting. With a
+  // higher value the decision module would treat a busy connection as a free one.
   result.streamsPerConnection = 1;
 }
 
@@ -134,8 +134,8 @@
 policy::Settings readPolicySettings(const json& settings) {
   policy::Settings result;
   readFleet(settings, result);
-  readCeilings(part(settings, "ceilings"), result);
-  readRules(part(settings, "rules"), result);
+  readCeilings(objectField(settings, "ceilings"), result);
+  readRules(objectField(settings, "rules"), result);
   readClasses(settings, result);
   readTenants(settings, result);
   return result;
--- a/src/config/policy_settings.hpp
+++ b/src/config/policy_settings.hpp
@@ -1,5 +1,5 @@
-// The settings of the decision module, from the part `settings` of the configuration. The operators' names of
-// settings are mapped to those of the code here and nowhere else.
+// Reads the settings of the decision module from the object `settings` of the configuration. This is the only
+// place that maps the operators' names of settings to those of the code.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -8,7 +8,8 @@
 
 namespace cairnjunction {
 
-// Throws BadConfig. What the decision module itself requires of its settings is not checked here.
+// Throws BadConfig. Does not check what the decision module requires of its settings, since the module checks
+// that itself.
 policy::Settings readPolicySettings(const nlohmann::json& settings);
 
 }  // namespace cairnjunction
--- a/src/config/routes_file.hpp
+++ b/src/config/routes_file.hpp
@@ -1,4 +1,4 @@
-// The routes file.
+// Reads the routes file.
 #pragma once
 
 #include <cstddef>
@@ -8,9 +8,10 @@
 
 namespace cairnjunction {
 
-inline constexpr std::size_t kMaxRoutesFileBytes = 256 << 20;  // bytes: some 300 for a location
+inline constexpr std::size_t kMaxRoutesFileBytes = 256 << 20;  // 256 MiB; a location takes about 300 bytes
 
-// Reads and checks the routes. Throws route::BadRoutes, whose text begins with the path.
+// Reads and validates the routes in the file at `path`. Throws route::BadRoutes, whose text starts with the
+// path.
 route::Routes readRoutes(const std::string& path);
 
 }  // namespace cairnjunction
--- a/tests/config/json_fields_test.cpp
+++ b/tests/config/json_fields_test.cpp
@@ -1,3 +1,4 @@
+// Reading fields of JSON objects: defaults, units, ranges and errors.
 #include "config/json_fields.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +12,7 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-// What the error of `action` says; empty if there is none.
+// The message of the BadConfig that `action` throws; empty if it throws none.
 std::string errorOf(const std::function<void()>& action) {
   try {
     action();
@@ -42,18 +43,18 @@
   EXPECT_EQ(errorOf([&] { read(json{{"count", 4294967296}}, "count", value); }), "count: out of range");
 }
 
-TEST(JsonFieldsTest, AnErrorNamesTheField) {
+TEST(JsonFieldsTest, ErrorNamesTheField) {
   bool value = false;
   EXPECT_EQ(errorOf([&] { read(json{{"cancel", "yes"}}, "cancel", value); }).rfind("cancel: ", 0), 0u);
 }
 
-TEST(JsonFieldsTest, AMissingPartIsEmptyAndOneOfAnotherTypeIsRejected) {
-  EXPECT_TRUE(part(json::object(), "rules").empty());
-  EXPECT_EQ(part(json{{"rules", {{"a", 1}}}}, "rules").at("a"), 1);
-  EXPECT_EQ(errorOf([] { part(json{{"rules", 5}}, "rules"); }), "rules is no object");
+TEST(JsonFieldsTest, MissingObjectIsEmptyAndAnotherTypeIsRejected) {
+  EXPECT_TRUE(objectField(json::object(), "rules").empty());
+  EXPECT_EQ(objectField(json{{"rules", {{"a", 1}}}}, "rules").at("a"), 1);
+  EXPECT_EQ(errorOf([] { objectField(json{{"rules", 5}}, "rules"); }), "rules is no object");
 }
 
-TEST(JsonFieldsTest, OnlyNumbersAboveZeroArePositive) {
+TEST(JsonFieldsTest, RequirePositiveRejectsZeroAndOtherTypes) {
   requirePositive(json::object(), "aimNs");
   requirePositive(json{{"aimNs", 0.5}}, "aimNs");
   EXPECT_EQ(errorOf([] { requirePositive(json{{"aimNs", 0}}, "aimNs"); }), "aimNs: 0 is no number above 0");
--- a/tests/config/policy_settings_test.cpp
+++ b/tests/config/policy_settings_test.cpp
@@ -1,4 +1,4 @@
-// The operators' names of settings and what they become.
+// How the operators' names of settings map to the settings of the decision module.
 #include "config/policy_settings.hpp"
 
 #include <gtest/gtest.h>
@@ -53,24 +53,24 @@
   EXPECT_EQ(pay.allowedMachineKinds, (std::vector<std::string>{"m5", "m6"}));
 }
 
-TEST(PolicySettingsTest, AClassIsUnsafeAndUnboundUnlessItSaysSo) {
+TEST(PolicySettingsTest, ClassIsUnsafeAndUnrestrictedByDefault) {
   const policy::Settings settings = readPolicySettings(withGrade({{"name", "x"}, {"aimNs", 5}}));
   ASSERT_EQ(settings.classes.size(), 1u);
   EXPECT_EQ(settings.classes[0].idempotency, policy::Idempotency::unsafe);
   EXPECT_EQ(settings.classes[0].dedupScope, policy::DedupScope::all);
   EXPECT_FALSE(settings.classes[0].allowedZones);
   EXPECT_FALSE(settings.classes[0].allowedMachineKinds);
-  EXPECT_EQ(settings.classes[0].clientTimeout, 5ns) << "never below the objective";
+  EXPECT_EQ(settings.classes[0].clientTimeout, 5ns) << "never below the latency objective";
 }
 
-TEST(PolicySettingsTest, AnEmptyListOfZonesAllowsNone) {
+TEST(PolicySettingsTest, EmptyListOfZonesAllowsNone) {
   const policy::Settings settings =
       readPolicySettings(withGrade({{"name", "x"}, {"staysIn", json::array()}}));
   ASSERT_TRUE(settings.classes.at(0).allowedZones);
   EXPECT_TRUE(settings.classes[0].allowedZones->empty());
 }
 
-TEST(PolicySettingsTest, ReadsWhatConcernsTheFleetAndTheRules) {
+TEST(PolicySettingsTest, ReadsFleetRulesAndTenants) {
   json document = withGrade({{"name", "x"}});
   document["groupSize"] = 3;
   document["myNumber"] = 2;
@@ -93,29 +93,30 @@
   EXPECT_EQ(settings.tenants[0].quotaPerSecond, 12.0);
 }
 
-TEST(PolicySettingsTest, ListsThatArePushedAreNotPolled) {
+TEST(PolicySettingsTest, DiscoveryIsPolledOnlyInModeAsk) {
   json document = withGrade({{"name", "x"}});
   EXPECT_FALSE(readPolicySettings(document).pollDiscovery);
   document["registryMode"] = "push";
   EXPECT_FALSE(readPolicySettings(document).pollDiscovery);
 }
 
-// On sockets a connection carries one request at a time, whatever the simulator's setting says.
-TEST(PolicySettingsTest, AConnectionCarriesOneRequest) {
+// On sockets a connection carries one request at a time, independent of the simulator's setting.
+TEST(PolicySettingsTest, ConnectionCarriesOneRequest) {
   json document = withGrade({{"name", "x"}});
   document["ceilings"] = {{"streams", 8}};
   EXPECT_EQ(readPolicySettings(document).streamsPerConnection, 1u);
 }
 
-TEST(PolicySettingsTest, SettingsThatCannotHoldAreRejected) {
+TEST(PolicySettingsTest, InvalidSettingsAreRejected) {
   EXPECT_TRUE(isRejected(json::object())) << "no classes";
   EXPECT_TRUE(isRejected({{"grades", 5}}));
   EXPECT_TRUE(isRejected({{"grades", {5}}}));
   EXPECT_TRUE(isRejected(withGrade({{"effect", "harmless"}})));
   EXPECT_TRUE(isRejected(withGrade({{"group", "planet"}})));
-  EXPECT_TRUE(isRejected(withGrade({{"effect", "dedup"}, {"windowNs", 0}}))) << "drops no repeat";
+  EXPECT_TRUE(isRejected(withGrade({{"effect", "dedup"}, {"windowNs", 0}}))) << "no repeat would be dropped";
   EXPECT_TRUE(isRejected(withGrade({{"aimNs", 0}})));
-  EXPECT_TRUE(isRejected({{"grades", {{{"name", "a"}}, {{"name", "a"}}}}})) << "one name twice";
+  EXPECT_TRUE(isRejected({{"grades", {{{"name", "a"}}, {{"name", "a"}}}}}))
+      << "two classes with the same name";
   EXPECT_TRUE(isRejected({{"grades", {{{"name", "a"}}}}, {"registryMode", "guess"}}));
 }
 
