--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -12,10 +12,11 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr auto kAcceptAgain = std::chrono::milliseconds(20);  // after a failed accept
+constexpr std::chrono::milliseconds kAcceptRetryDelay{20};  // after a failed accept
 
 }  // namespace
 
+// One client: reads a line, writes the response, and reads on until the client closes the connection.
 class AdminServer::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(AdminServer& server, tcp::socket socket)
@@ -64,19 +65,20 @@
     response_ = std::move(text);
     asio::async_write(socket_, asio::buffer(response_), [self = shared_from_this()](error_code, std::size_t) {
       if (!self->server_) return;
-      // Closing a socket with unread bytes resets the connection, and the client may lose the response. So
-      // only the sending side is shut down, and what the client still sends is read until it closes.
+      // Lingering close: closing a socket with unread bytes resets the connection, and the client may lose
+      // the response. So only the sending side is shut down, and further input is discarded until the client
+      // closes.
       error_code ignored;
       self->socket_.shutdown(tcp::socket::shutdown_send, ignored);
-      self->drain();
+      self->discardInput();
     });
   }
 
-  void drain() {  // until the client closes, or the timer ends
+  void discardInput() {  // until the client closes the connection or the timer expires
     socket_.async_read_some(asio::buffer(chunk_), [self = shared_from_this()](error_code ec, std::size_t) {
       if (!self->server_) return;
       if (ec) return self->disconnect();
-      self->drain();
+      self->discardInput();
     });
   }
 
@@ -100,8 +102,9 @@
   acceptor_.async_accept(callbackGuard_.guard([this](error_code ec, tcp::socket socket) {
     if (ec == asio::error::operation_aborted) return;
     if (ec) {
-      // With no descriptor left the listener stays ready, and accepting again at once would spin.
-      acceptRetryTimer_.expires_after(kAcceptAgain);
+      // Without a free file descriptor the listener stays readable, and accepting again at once would
+      // busy-loop.
+      acceptRetryTimer_.expires_after(kAcceptRetryDelay);
       acceptRetryTimer_.async_wait(callbackGuard_.guard([this](error_code stopped) {
         if (!stopped) accept();
       }));
@@ -115,11 +118,11 @@
 }
 
 void AdminServer::disconnect(const std::shared_ptr<Connection>& connection) {
-  // The list's own element may be what is passed: it is held until it is out of the list.
+  // `connection` may refer to an element of the list, so a copy keeps it alive while it is removed.
   // NOLINTNEXTLINE(performance-unnecessary-copy-initialization): see above
-  const std::shared_ptr<Connection> held = connection;
-  held->close();
-  connections_.remove(held);
+  const std::shared_ptr<Connection> removed = connection;
+  removed->close();
+  connections_.remove(removed);
 }
 
 }  // namespace cairnjunction::admin
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -1,6 +1,6 @@
-// The operators' TCP server. Each connection carries one request line and is closed after its response.
-// Clients that connect and send nothing keep nobody out: at the limit the oldest connection is closed for the
-// new one.
+// The TCP server for operators. Each connection carries one request line and is closed after its response.
+// Clients that connect and send nothing do not block others: at the limit the oldest connection is closed in
+// favour of the new one.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,17 +20,17 @@
 
 class AdminServer {
  public:
-  // Descriptors are needed for clients and endpoints; operators usually call one at a time, and a few calls
-  // may hang.
+  // Small, because file descriptors are needed for clients and endpoints. Operators usually make one call at
+  // a time, and a few calls may hang.
   static constexpr std::size_t kMaxConnections = 8;
-  static constexpr std::size_t kMaxLineBytes = 256;  // without the line end; the longest call has ten bytes
+  static constexpr std::size_t kMaxLineBytes = 256;  // without the line end; the longest call takes 10 bytes
   static constexpr std::chrono::seconds kConnectionTimeout{6};  // from accept until the client has closed
 
-  // Returns the response to a line, which comes without its end (LF or CR LF). The response ends with LF.
-  // Must not throw.
+  // Takes a line without its line end (LF or CR LF) and returns the response, which ends with LF. Must not
+  // throw.
   using RequestHandler = std::function<std::string(std::string_view line)>;
 
-  // Listens at once. Throws boost::system::system_error.
+  // Listens on `listen` from the start. Throws boost::system::system_error if that fails.
   AdminServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen,
               RequestHandler handler);
   ~AdminServer();
@@ -50,7 +50,7 @@
   boost::asio::steady_timer acceptRetryTimer_;
   RequestHandler handler_;
   std::list<std::shared_ptr<Connection>> connections_;  // oldest first
-  CallbackGuard callbackGuard_;                         // of handlers that are pending on the event loop
+  CallbackGuard callbackGuard_;                         // for handlers that are pending on the event loop
 };
 
 }  // namespace cairnjunction::admin
--- a/src/admin/figures.cpp
+++ b/src/admin/figures.cpp
@@ -6,10 +6,11 @@
 namespace cairnjunction::admin {
 namespace {
 
-constexpr std::string_view kPrefix = "edge_gw.";
+constexpr std::string_view kMetricPrefix = "edge_gw.";
 
-void line(std::string& text, std::string_view name, std::uint64_t value) {
-  text.append(kPrefix).append(name).append("=").append(std::to_string(value)).append("\n");
+// Appends the line of one metric to `text`.
+void appendMetric(std::string& text, std::string_view name, std::uint64_t value) {
+  text.append(kMetricPrefix).append(name).append("=").append(std::to_string(value)).append("\n");
 }
 
 }  // namespace
@@ -20,17 +21,17 @@
     std::string name = "replies." + counts.name;
     std::replace_if(
         name.begin(), name.end(), [](char byte) { return byte <= ' ' || byte >= 0x7f || byte == '='; }, '_');
-    line(text, name + ".success", counts.success);
-    line(text, name + ".overload", counts.overload);
-    line(text, name + ".error", counts.error);
+    appendMetric(text, name + ".success", counts.success);
+    appendMetric(text, name + ".overload", counts.overload);
+    appendMetric(text, name + ".error", counts.error);
   }
-  line(text, "dispatches", figures.dispatches);
-  line(text, "concurrent", figures.concurrent);
-  line(text, "targets", figures.targets);
-  line(text, "targets_disabled", figures.targetsDisabled);
-  line(text, "reload_success", figures.reloadSuccess);
-  line(text, "reload_failure", figures.reloadFailure);
-  for (const auto& [name, value] : figures.more) line(text, name, value);
+  appendMetric(text, "dispatches", figures.dispatches);
+  appendMetric(text, "concurrent", figures.concurrent);
+  appendMetric(text, "targets", figures.targets);
+  appendMetric(text, "targets_disabled", figures.targetsDisabled);
+  appendMetric(text, "reload_success", figures.reloadSuccess);
+  appendMetric(text, "reload_failure", figures.reloadFailure);
+  for (const auto& [name, value] : figures.more) appendMetric(text, name, value);
   return text;
 }
 
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -1,4 +1,4 @@
-// The operators' server and the figures behind it, over sockets.
+// The admin server and the gateway's metrics, over sockets.
 #include "admin/admin_server.hpp"
 
 #include <algorithm>
@@ -14,26 +14,26 @@
 namespace cairnjunction::testing {
 namespace {
 
-// What a client gets for what it sends, until the server ends the connection.
-class Call : public std::enable_shared_from_this<Call> {
+// A client of the admin server. Collects what the server sends until the connection is closed.
+class AdminClient : public std::enable_shared_from_this<AdminClient> {
  public:
-  static std::shared_ptr<Call> to(asio::io_context& io, const tcp::endpoint& server) {
-    auto call = std::shared_ptr<Call>(new Call(io));
-    call->socket_.connect(server);
-    call->read();
-    return call;
+  static std::shared_ptr<AdminClient> connect(asio::io_context& io, const tcp::endpoint& server) {
+    auto client = std::shared_ptr<AdminClient>(new AdminClient(io));
+    client->socket_.connect(server);
+    client->read();
+    return client;
   }
-  void say(const std::string& text) { asio::write(socket_, asio::buffer(text)); }
+  void send(const std::string& text) { asio::write(socket_, asio::buffer(text)); }
 
-  std::string got;
-  bool over = false;
+  std::string received;
+  bool closed = false;
 
  private:
-  explicit Call(asio::io_context& io) : socket_(io) {}
+  explicit AdminClient(asio::io_context& io) : socket_(io) {}
   void read() {
     socket_.async_read_some(asio::buffer(chunk_), [self = shared_from_this()](error_code ec, std::size_t n) {
-      self->got.append(self->chunk_.data(), n);
-      if (ec) self->over = true;
+      self->received.append(self->chunk_.data(), n);
+      if (ec) self->closed = true;
       else self->read();
     });
   }
@@ -45,48 +45,49 @@
  protected:
   admin::AdminServer server{io, loopback(),
                             [](std::string_view line) { return "SUCCESS " + std::string(line) + "\n"; }};
-  std::string ask(const std::string& text) {
-    const auto call = Call::to(io, server.listening());
-    call->say(text);
-    EXPECT_TRUE(until([&] { return call->over; }));
-    return call->got;
+  // Sends `text` on a new connection and returns the whole response.
+  std::string request(const std::string& text) {
+    const auto client = AdminClient::connect(io, server.listening());
+    client->send(text);
+    EXPECT_TRUE(until([&] { return client->closed; }));
+    return client->received;
   }
 };
 
-TEST_F(AdminServerTest, AnswersOneLineAndEndsTheConnection) {
-  EXPECT_EQ(ask("check\n"), "SUCCESS check\n");
-  EXPECT_EQ(ask("check\r\n"), "SUCCESS check\n");
-  EXPECT_EQ(ask("check\nmore\n"), "SUCCESS check\n") << "one line for each connection";
+TEST_F(AdminServerTest, AnswersOneLineAndClosesTheConnection) {
+  EXPECT_EQ(request("check\n"), "SUCCESS check\n");
+  EXPECT_EQ(request("check\r\n"), "SUCCESS check\n");
+  EXPECT_EQ(request("check\nmore\n"), "SUCCESS check\n") << "only the first line of a connection is answered";
   EXPECT_TRUE(until([&] { return server.connectionCount() == 0; }));
 }
 
-TEST_F(AdminServerTest, ALineInPiecesIsOne) {
-  const auto call = Call::to(io, server.listening());
-  call->say("che");
+TEST_F(AdminServerTest, LineReceivedInPartsIsAnswered) {
+  const auto client = AdminClient::connect(io, server.listening());
+  client->send("che");
   ASSERT_TRUE(until([&] { return server.connectionCount() == 1; }));
-  call->say("ck");
-  call->say("\n");
-  ASSERT_TRUE(until([&] { return call->over; }));
-  EXPECT_EQ(call->got, "SUCCESS check\n");
+  client->send("ck");
+  client->send("\n");
+  ASSERT_TRUE(until([&] { return client->closed; }));
+  EXPECT_EQ(client->received, "SUCCESS check\n");
 }
 
-TEST_F(AdminServerTest, ALineWithoutEndIsRejectedAtItsBound) {
-  EXPECT_EQ(ask(std::string(admin::AdminServer::kMaxLineBytes + 1, 'x')).rfind("FAILURE", 0), 0u);
-  EXPECT_EQ(ask(std::string(admin::AdminServer::kMaxLineBytes + 1, 'x') + "\n").rfind("FAILURE", 0), 0u);
+TEST_F(AdminServerTest, LineAboveTheMaximumLengthIsRejected) {
+  EXPECT_EQ(request(std::string(admin::AdminServer::kMaxLineBytes + 1, 'x')).rfind("FAILURE", 0), 0u);
+  EXPECT_EQ(request(std::string(admin::AdminServer::kMaxLineBytes + 1, 'x') + "\n").rfind("FAILURE", 0), 0u);
 }
 
-TEST_F(AdminServerTest, IdleClientsKeepNobodyOut) {
-  std::vector<std::shared_ptr<Call>> silent;
+TEST_F(AdminServerTest, IdleClientsDoNotBlockOthers) {
+  std::vector<std::shared_ptr<AdminClient>> idleClients;
   for (std::size_t i = 0; i < 3 * admin::AdminServer::kMaxConnections; ++i) {
-    silent.push_back(Call::to(io, server.listening()));
-    silent.back()->say("che");
+    idleClients.push_back(AdminClient::connect(io, server.listening()));
+    idleClients.back()->send("che");
   }
-  EXPECT_EQ(ask("check\n"), "SUCCESS check\n");
+  EXPECT_EQ(request("check\n"), "SUCCESS check\n");
   EXPECT_LE(server.connectionCount(), admin::AdminServer::kMaxConnections);
-  EXPECT_TRUE(silent.front()->over) << "the one that came first made room";
+  EXPECT_TRUE(idleClients.front()->closed) << "the oldest connection is closed in favour of a new one";
 }
 
-TEST(Report, NamesEachFigureOnALineOfItsOwn) {
+TEST(ReportTextTest, HasALineForEachMetric) {
   admin::Figures figures;
   figures.classes = {{"read", 812, 3, 1}, {"a=b c", 0, 0, 0}};
   figures.dispatches = 900;
@@ -104,18 +105,20 @@
       "edge_gw.reload_success=1\nedge_gw.reload_failure=4\n");
 }
 
-// --- Of a gateway ---------------------------------------------------------------------------------------
+// --- The admin server of a gateway
+// ---------------------------------------------------------------------------------------
 
 class GatewayAdminTest : public LoopTest {
  protected:
   FakeDiscovery discovery{io};
   json config = configJson();
-  std::vector<std::unique_ptr<Peer>> hosts;
+  std::vector<std::unique_ptr<Peer>> endpoints;
   std::unique_ptr<Gateway> gateway;
 
-  void addHost(PeerConnection::Script script, const std::string& state = "SERVING") {
-    hosts.push_back(std::make_unique<Peer>(io, std::move(script)));
-    discovery.list.push_back(target("s-" + std::to_string(hosts.size()), hosts.back()->endpoint, "a", state));
+  void addEndpoint(PeerConnection::Script script, const std::string& state = "SERVING") {
+    endpoints.push_back(std::make_unique<Peer>(io, std::move(script)));
+    discovery.list.push_back(
+        target("s-" + std::to_string(endpoints.size()), endpoints.back()->endpoint, "a", state));
   }
   void start(int acceptFd = -1) {
     config["discovery"] = textOf(discovery.peer.endpoint);
@@ -125,23 +128,25 @@
     parsed.acceptFd = acceptFd;
     gateway = std::make_unique<Gateway>(io, parsed, longWatches(), [](const std::string&) {});
   }
-  std::string ask(const std::string& line) {
-    const auto call = Call::to(io, gateway->adminServer()->listening());
-    call->say(line + "\n");
-    EXPECT_TRUE(until([&] { return call->over; }));
-    return call->got;
+  // Sends `line` on a new connection and returns the whole response.
+  std::string request(const std::string& line) {
+    const auto client = AdminClient::connect(io, gateway->adminServer()->listening());
+    client->send(line + "\n");
+    EXPECT_TRUE(until([&] { return client->closed; }));
+    return client->received;
   }
-  std::map<std::string, long> vars() {
-    std::map<std::string, long> read;
-    std::istringstream text(ask("vars"));
+  // Returns the metrics by name.
+  std::map<std::string, long> readMetrics() {
+    std::map<std::string, long> metrics;
+    std::istringstream text(request("vars"));
     std::string line, last;
     while (std::getline(text, line)) {
       last = line;
       if (const auto equals = line.find('='); equals != std::string::npos)
-        read[line.substr(0, equals)] = std::stol(line.substr(equals + 1));
+        metrics[line.substr(0, equals)] = std::stol(line.substr(equals + 1));
     }
     EXPECT_EQ(last, "EOT");
-    return read;
+    return metrics;
   }
   std::shared_ptr<Client> send(const std::string& cls, const std::string& id) {
     return send(cls, id, gateway->listening());
@@ -156,11 +161,11 @@
 };
 
 TEST_F(GatewayAdminTest, CountsRepliesByClassAndActiveRequests) {
-  bool hold = false;
-  addHost([&](PeerConnection& c) {
-    if (!hold) c.reply(answerText(c.request.target() == "/write" ? 500 : 200, "", "x"));
+  bool unresponsive = false;
+  addEndpoint([&](PeerConnection& c) {
+    if (!unresponsive) c.reply(answerText(c.request.target() == "/write" ? 500 : 200, "", "x"));
   });
-  addHost([](PeerConnection&) {}, "DRAINING");
+  addEndpoint([](PeerConnection&) {}, "DRAINING");
   start();
   for (int i = 0; i < 3; ++i) {
     const auto c = send("read", "r" + std::to_string(i));
@@ -168,46 +173,49 @@
   }
   const auto failed = send("write", "w1");
   ASSERT_TRUE(until([&] { return !failed->answers.empty(); }));
-  hold = true;
+  unresponsive = true;
   const auto open = send("read", "r9");
-  ASSERT_TRUE(until([&] { return hosts[0]->requests.size() == 5; }));
-  const auto read = vars();
-  EXPECT_EQ(read.at("edge_gw.replies.read.success"), 3);
-  EXPECT_EQ(read.at("edge_gw.replies.write.error"), 1) << "an unsafe call that may have run has failed";
-  EXPECT_EQ(read.at("edge_gw.replies.write.success"), 0);
-  EXPECT_EQ(read.at("edge_gw.dispatches"), 5);
-  EXPECT_EQ(read.at("edge_gw.concurrent"), 1);
-  EXPECT_EQ(read.at("edge_gw.targets"), 2);
-  EXPECT_EQ(read.at("edge_gw.targets_disabled"), 1) << "the one that drains";
+  ASSERT_TRUE(until([&] { return endpoints[0]->requests.size() == 5; }));
+  const auto metrics = readMetrics();
+  EXPECT_EQ(metrics.at("edge_gw.replies.read.success"), 3);
+  EXPECT_EQ(metrics.at("edge_gw.replies.write.error"), 1)
+      << "an unsafe request that may have been executed has failed";
+  EXPECT_EQ(metrics.at("edge_gw.replies.write.success"), 0);
+  EXPECT_EQ(metrics.at("edge_gw.dispatches"), 5);
+  EXPECT_EQ(metrics.at("edge_gw.concurrent"), 1);
+  EXPECT_EQ(metrics.at("edge_gw.targets"), 2);
+  EXPECT_EQ(metrics.at("edge_gw.targets_disabled"), 1) << "the draining endpoint";
   open->close();
-  ASSERT_TRUE(until([&] { return gateway->figures().concurrent == 0; })) << "its client has left";
+  ASSERT_TRUE(until([&] { return gateway->figures().concurrent == 0; }))
+      << "a request whose client has closed its connection is not in flight";
 }
 
-TEST_F(GatewayAdminTest, CheckSaysYesOnceHostsAreKnownAndNoInAStop) {
+TEST_F(GatewayAdminTest, CheckSucceedsOnceEndpointsAreKnownAndFailsWhileStopping) {
   start();
   discovery.failing = true;
-  EXPECT_EQ(ask("check").rfind("FAILURE", 0), 0u);
-  EXPECT_EQ(ask("nonsense").rfind("FAILURE", 0), 0u);
+  EXPECT_EQ(request("check").rfind("FAILURE", 0), 0u);
+  EXPECT_EQ(request("nonsense").rfind("FAILURE", 0), 0u);
   discovery.failing = false;
-  addHost([](PeerConnection&) {});
+  addEndpoint([](PeerConnection&) {});
   gateway.reset();
   start();
-  EXPECT_EQ(ask("check"), "SUCCESS\n");
+  EXPECT_EQ(request("check"), "SUCCESS\n");
   gateway->drain([] {});
-  EXPECT_EQ(ask("check").rfind("FAILURE", 0), 0u);
+  EXPECT_EQ(request("check").rfind("FAILURE", 0), 0u);
 }
 
-TEST_F(GatewayAdminTest, AnInheritedListenerIsServedAndOutlivesTheOneThatStops) {
-  // Held by the platform: connections that come while one process stops are taken by the next.
+TEST_F(GatewayAdminTest, InheritedListenerIsServedAndOutlivesAStoppedGateway) {
+  // The platform keeps the listener open: connections made while one process stops are accepted by the next
+  // one.
   tcp::acceptor platform(io, loopback());
-  addHost([](PeerConnection& c) { c.reply(answerText(200, "", "x")); });
+  addEndpoint([](PeerConnection& c) { c.reply(answerText(200, "", "x")); });
   start(dup(platform.native_handle()));
   ASSERT_EQ(gateway->listening(), platform.local_endpoint());
   const auto before = send("read", "r1");
   ASSERT_TRUE(until([&] { return !before->answers.empty(); }));
   bool stopped = false;
   gateway->drain([&] { stopped = true; });
-  const auto between = send("read", "r2", platform.local_endpoint());  // accepted by nobody yet
+  const auto between = send("read", "r2", platform.local_endpoint());  // not accepted yet
   ASSERT_TRUE(until([&] { return stopped; }));
   gateway.reset();
   start(dup(platform.native_handle()));
