--- a/src/consensus/append_entries_guard.cpp
+++ b/src/consensus/append_entries_guard.cpp
@@ -6,7 +6,7 @@
 namespace cairnjunction::consensus {
 namespace {
 
-// 0: the entry is not in memory any more, or not yet.
+// Returns the term of an entry; 0 if the entry is not in memory, because it was removed or not received yet.
 raft_term termOf(const raft_log& log, raft_index index) {
   if (index == log.snapshot.last_index) return log.snapshot.last_term;
   if (log.size == 0 || index <= log.offset) return 0;
@@ -22,7 +22,7 @@
   comparedIndex_ = message.prev_log_index + message.n_entries;
 }
 
-// The sender leads this term or a later one, so it has the entries that are applied here.
+// The sender is the leader of this term or a later one, so it has all entries that are applied here.
 void AppendEntriesGuard::removeAppliedEntries(raft_append_entries& message) const {
   const raft_index applied = voter_.last_applied;
   const raft_term appliedTerm = termOf(voter_.log, applied);
--- a/src/consensus/append_entries_guard.hpp
+++ b/src/consensus/append_entries_guard.hpp
@@ -1,11 +1,13 @@
-// Guards a follower against two faults of the consensus library (0.15) in what leaders send it.
+// Works around two faults of the consensus library (0.15) in how a follower handles append-entries messages.
 //
-// - A leader without a snapshot sends a voter that is far behind its entries from 1 on. The voter may have
-//   dropped the first of them behind a snapshot; the library does not look, and appends them at the end of
-//   its log under wrong numbers. Here entries that are applied already are taken off the message.
-// - The library answers each message that it accepts with the last entry that it has, also with entries of an
-//   earlier leader that were not compared. The leader then takes its own entries of these numbers for written
-//   here, and may commit what nobody else has. Here the answer ends with the last entry that was compared.
+// - A leader without a snapshot sends a voter that is far behind all its entries, from index 1 on. The voter
+//   may have removed the first of them after a snapshot. The library does not check this and appends them at
+//   the end of its log under wrong indexes. The guard removes entries that are applied already from the
+//   message.
+// - The library answers each message that it accepts with the index of its last entry, even if the entries up
+//   to there come from an earlier leader and were not compared with the message. The leader then counts its
+//   own entries at these indexes as written here, and may commit entries that no other voter has. The guard
+//   limits the answer to the last entry that was compared.
 #pragma once
 
 #include <optional>
@@ -19,19 +21,22 @@
   // `voter` must outlive the guard.
   explicit AppendEntriesGuard(const raft& voter) : voter_(voter) {}
 
-  // Before the library is given the message, which stays the receiver's.
+  // Call before a message is passed to the library. Removes applied entries from `message` and frees them if
+  // none are left; the receiver still owns the message.
   void beginReceiving(raft_append_entries& message);
-  // The library has returned from it.
+  // Call after the library has returned from handling the message.
   void endReceiving() { comparedIndex_.reset(); }
-  // What the library is about to answer. An answer that follows a write later is right as it is: behind
-  // entries that are appended there are no others.
+  // Call with the result that the library is about to send. Only a result sent between beginReceiving() and
+  // endReceiving() is limited. A result sent later, after a write, needs no limit: the appended entries are
+  // the last ones of the log.
   void limitResult(raft_append_entries_result& result) const;
 
  private:
   void removeAppliedEntries(raft_append_entries& message) const;
 
   const raft& voter_;
-  // Up to it a message that is being received compares this voter's entries with its leader's.
+  // Index of the last entry that is compared with the leader's by the message being received; empty: no
+  // message is being received.
   std::optional<raft_index> comparedIndex_;
 };
 
--- a/src/consensus/durable_file.cpp
+++ b/src/consensus/durable_file.cpp
@@ -21,7 +21,7 @@
   FileDescriptor& operator=(const FileDescriptor&) = delete;
 
   bool isOpen() const { return fd_ >= 0; }
-  // A disk that is nearly full takes a part; why it takes no more is told by the next write.
+  // A nearly full disk may accept only a part of the text; the next call of ::write then sets errno.
   bool write(std::string_view text) const {
     while (!text.empty()) {
       const ssize_t written = ::write(fd_, text.data(), text.size());
@@ -43,7 +43,7 @@
   return std::nullopt;
 }
 
-// So that a rename in it is on the disk.
+// Makes a rename in the folder durable.
 std::optional<FileError> syncFolder(const std::string& folder) {
   const FileDescriptor directory(folder, O_RDONLY | O_DIRECTORY);
   if (!directory.isOpen()) return FileError{folder, "not opened", errno};
--- a/src/consensus/durable_file.hpp
+++ b/src/consensus/durable_file.hpp
@@ -1,4 +1,4 @@
-// A small file that is replaced whole: after a crash it is the old one or the new one.
+// Atomic, durable replacement of a small file: after a crash it has either the old or the new content.
 #pragma once
 
 #include <optional>
@@ -7,14 +7,16 @@
 namespace cairnjunction::consensus {
 
 struct FileError {
-  std::string path;  // of the file or folder that it came from
-  const char* step;  // what was not done with it, as in "not written"
+  std::string path;  // of the file or folder on which the step failed
+  const char* step;  // the step that failed, as in "not written"
   int error;         // errno
 };
+// "PATH: STEP: TEXT OF ERRNO"
 std::string textOf(const FileError& error);
 
-// Replaces `path`, which is in `folder`, by a file with this text. Without an error both are on the disk when
-// it returns; with one the old file may be there still. Blocks for the disk.
+// Replaces `path`, a file in `folder`, by a file with the content `text`. Blocks for the disk. Returns
+// nothing once the file and its folder entry are on the disk, or the error, after which the file may have its
+// old content.
 std::optional<FileError> replaceFile(const std::string& folder, const std::string& path,
                                      const std::string& text);
 
--- a/src/consensus/former_log_files.cpp
+++ b/src/consensus/former_log_files.cpp
@@ -9,7 +9,7 @@
 
 namespace files = std::filesystem;
 
-// Term and vote, closed segments, open segments, snapshots and what describes them.
+// Files with term and vote, closed segments, open segments, snapshots, and metadata of snapshots.
 bool isFormerLogFile(const files::path& path) {
   static const std::regex names(R"(metadata[12]|\d+-\d+|open-\d+|snapshot-\d+-\d+-\d+(\.meta)?)");
   return std::regex_match(path.filename().string(), names);
--- a/src/consensus/former_log_files.hpp
+++ b/src/consensus/former_log_files.hpp
@@ -1,5 +1,5 @@
-// The files of the consensus library's own disk, in which earlier versions kept the log. They are read once,
-// when a coordinator of this version first starts on their folder.
+// The log files of earlier versions, which used the consensus library's own disk format. They are imported
+// once, when a coordinator of this version first starts on a folder that has them.
 #pragma once
 
 #include <optional>
@@ -9,10 +9,13 @@
 
 namespace cairnjunction::consensus {
 
+// Whether `folder` has log files of an earlier version. Throws std::filesystem::filesystem_error if the
+// folder can't be read.
 bool hasFormerLogFiles(const std::string& folder);
-// Writes what was read of them to a new store, all or nothing.
+// Writes `former`, the log read from these files, to a new store in one transaction. Returns the error, after
+// which nothing is written.
 std::optional<StoreError> importFormerLog(LogStore& store, const StoredLog& former);
-// Throws LogError.
+// Removes the log files of an earlier version; does nothing if there are none. Throws LogError.
 void removeFormerLogFiles(const std::string& folder);
 
 }  // namespace cairnjunction::consensus
--- a/src/consensus/log_store.cpp
+++ b/src/consensus/log_store.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr const char* kFileName = "/raft.db";
-constexpr const char* kFormat = "1";
-// So many times the bytes of a checkpoint the write-ahead log may grow to while checkpoints fail.
-constexpr std::size_t kWriteAheadFactorMost = 16;
+constexpr const char* kFormat = "1";  // stored as user_version; 0 is a new database
+// Bound of the write-ahead log while checkpoints fail, as a multiple of `checkpointBytes`.
+constexpr std::size_t kMaxWriteAheadFactor = 16;
 
 std::uint64_t checksumOf(std::initializer_list<std::uint64_t> numbers,
                          std::initializer_list<std::string_view> texts) {
@@ -63,7 +63,7 @@
 void LogStore::openDatabase() {
   database_.emplace(path_);
   const std::string check = database_->queryText("PRAGMA quick_check(1)");
-  if (check != "ok") failDamaged(check);
+  if (check != "ok") throwDamaged(check);
   const std::string format = database_->queryText("PRAGMA user_version");
   if (format == "0") return createTables();
   if (format != kFormat) throw LogError(path_ + ": format " + format + ", expected " + kFormat);
@@ -82,12 +82,12 @@
   });
 }
 
-void LogStore::failDamaged(const std::string& what) const { throw LogError(path_ + ": damaged: " + what); }
+void LogStore::throwDamaged(const std::string& what) const { throw LogError(path_ + ": damaged: " + what); }
 
 StoredLog LogStore::load() {
   try {
     StoredLog log{readVote(), readSnapshot(), readEntries()};
-    requireUnbroken(log);
+    requireContiguous(log);
     return log;
   } catch (const SqliteError& error) {
     throw LogError(path_ + ": " + error.what());
@@ -97,8 +97,8 @@
 StoredVote LogStore::readVote() {
   SqliteStatement row = database_->prepare("SELECT term, candidate, checksum FROM vote");
   if (!row.step()) return {};
-  const StoredVote vote{row.number(0), row.number(1)};
-  if (row.number(2) != checksumOf(vote)) failDamaged("checksum of the vote");
+  const StoredVote vote{row.integer(0), row.integer(1)};
+  if (row.integer(2) != checksumOf(vote)) throwDamaged("checksum of the vote");
   return vote;
 }
 
@@ -107,8 +107,9 @@
   SqliteStatement rows = database_->prepare("SELECT idx, term, type, data, checksum FROM entry ORDER BY idx");
   while (rows.step()) {
     const StoredEntry& entry =
-        entries.emplace_back(StoredEntry{rows.number(0), rows.number(1), rows.number(2), rows.bytes(3)});
-    if (rows.number(4) != checksumOf(entry)) failDamaged("checksum of entry " + std::to_string(entry.index));
+        entries.emplace_back(StoredEntry{rows.integer(0), rows.integer(1), rows.integer(2), rows.blob(3)});
+    if (rows.integer(4) != checksumOf(entry))
+      throwDamaged("checksum of entry " + std::to_string(entry.index));
   }
   return entries;
 }
@@ -118,26 +119,26 @@
     SqliteStatement row = database_->prepare(
         "SELECT idx, term, configuration_index, configuration, data, checksum FROM snapshot");
     if (!row.step()) return std::nullopt;
-    StoredSnapshot snapshot{row.number(0), row.number(1), row.number(2), row.bytes(3), row.bytes(4)};
-    if (row.number(5) != checksumOf(snapshot)) failDamaged("checksum of the snapshot");
+    StoredSnapshot snapshot{row.integer(0), row.integer(1), row.integer(2), row.blob(3), row.blob(4)};
+    if (row.integer(5) != checksumOf(snapshot)) throwDamaged("checksum of the snapshot");
     return snapshot;
   } catch (const SqliteError& error) {
     throw LogError(path_ + ": " + error.what());
   }
 }
 
-// Every entry from the snapshot to the last one is there, and none is from behind a gap.
-void LogStore::requireUnbroken(const StoredLog& log) const {
+// Throws if an entry between the snapshot and the last entry is missing, or the entries have a gap.
+void LogStore::requireContiguous(const StoredLog& log) const {
   const std::uint64_t covered = log.snapshot ? log.snapshot->index : 0;
-  if (log.vote.term == 0 && !log.isNew()) failDamaged("the vote is missing");
+  if (log.vote.term == 0 && !log.isNew()) throwDamaged("the vote is missing");
   if (log.entries.empty()) return;
   const std::uint64_t first = log.entries.front().index;
   const std::uint64_t last = log.entries.back().index;
   if (first > covered + 1)
-    failDamaged("entries " + std::to_string(covered + 1) + " to " + std::to_string(first - 1) +
-                " are missing");
-  if (last < covered) failDamaged("the entries end at " + std::to_string(last) + ", before the snapshot");
-  if (last - first + 1 != log.entries.size()) failDamaged("entries are missing");
+    throwDamaged("entries " + std::to_string(covered + 1) + " to " + std::to_string(first - 1) +
+                 " are missing");
+  if (last < covered) throwDamaged("the entries end at " + std::to_string(last) + ", before the snapshot");
+  if (last - first + 1 != log.entries.size()) throwDamaged("entries are missing");
 }
 
 // --- Writing ----------------------------------------------------------------------------------------------
@@ -154,14 +155,14 @@
   }
 }
 
-// A checkpoint that fails is tried again ahead of the next write; until one succeeds the log grows, up to its
-// bound.
+// A failed checkpoint is retried before the next write. Until one succeeds, the write-ahead log grows up to
+// its bound, at which this throws.
 void LogStore::limitWriteAheadLog() {
   if (database_->writeAheadBytes() < checkpointBytes_) return;
   try {
     database_->checkpoint();
   } catch (const SqliteError&) {
-    if (database_->writeAheadBytes() >= kWriteAheadFactorMost * checkpointBytes_) throw;
+    if (database_->writeAheadBytes() >= kMaxWriteAheadFactor * checkpointBytes_) throw;
   }
 }
 
--- a/src/consensus/log_store.hpp
+++ b/src/consensus/log_store.hpp
@@ -1,7 +1,7 @@
-// What a voter keeps on its disk: its term and vote, the entries of the log, and the last snapshot. They are
-// in one database, and what belongs together is written in one transaction: a crash, or a disk that fails,
-// leaves all of it or nothing. Each row has a checksum, and a log that is damaged is never taken for a
-// shorter one.
+// A voter's durable state: its term and vote, the log entries, and the last snapshot. They are in one SQLite
+// database. Changes that belong together are written in one transaction, so a crash or a failing disk leaves
+// all of them or none. Each row has a checksum, and gaps are detected, so a damaged log is never mistaken for
+// a shorter one.
 #pragma once
 
 #include <cstddef>
@@ -19,35 +19,36 @@
 
 struct StoredVote {
   std::uint64_t term = 0;       // 0: a new log
-  std::uint64_t candidate = 0;  // voted for in this term; 0: none
+  std::uint64_t candidate = 0;  // number of the voter that got this one's vote in the term; 0: none
   bool operator==(const StoredVote&) const = default;
 };
 
 struct StoredEntry {
   std::uint64_t index = 0;  // from 1
   std::uint64_t term = 0;
-  std::uint64_t type = 0;  // the consensus library's
+  std::uint64_t type = 0;  // of the library: RAFT_COMMAND, RAFT_BARRIER or RAFT_CHANGE
   std::string data;
   bool operator==(const StoredEntry&) const = default;
 };
 
 struct StoredSnapshot {
-  std::uint64_t index = 0;  // of the last entry that it stands for
-  std::uint64_t term = 0;   // of that entry
-  std::uint64_t configurationIndex = 0;
-  std::string configuration;  // the voters as of that entry, encoded by whoever calls
-  std::string data;           // the state machine's
+  std::uint64_t index = 0;               // of the last entry that the snapshot covers
+  std::uint64_t term = 0;                // of that entry
+  std::uint64_t configurationIndex = 0;  // of the entry with the configuration
+  std::string configuration;             // the voters as of `index`, encoded by the caller
+  std::string data;                      // the state machine's state
   bool operator==(const StoredSnapshot&) const = default;
 };
 
 struct StoredLog {
   StoredVote vote;
   std::optional<StoredSnapshot> snapshot;
-  std::vector<StoredEntry>
-      entries;  // consecutive; without a snapshot from 1, else from one behind it at most
+  // Consecutive. They start at index 1 without a snapshot, and otherwise no later than directly after it.
+  std::vector<StoredEntry> entries;
   bool isNew() const { return vote.term == 0 && !snapshot && entries.empty(); }
 };
 
+// Replaces the stored term and vote.
 struct SaveVote {
   StoredVote vote;
 };
@@ -55,32 +56,35 @@
   std::vector<StoredEntry> entries;
 };
 struct RemoveEntries {
-  std::uint64_t first = 0;  // and all behind it
+  std::uint64_t first = 0;  // index; this entry and all later ones are removed
 };
-// In place of the former snapshot.
+// Replaces the stored snapshot.
 struct SaveSnapshot {
+  // As `firstKept`: removes all entries. SQLite's largest integer.
   static constexpr std::uint64_t kKeepNone = std::numeric_limits<std::int64_t>::max();
   StoredSnapshot snapshot;
-  std::uint64_t firstKept = 0;  // entries before it are removed
+  std::uint64_t firstKept = 0;  // index; entries before it are removed
 };
 using LogWrite = std::variant<SaveVote, AppendEntries, RemoveEntries, SaveSnapshot>;
 
 struct StoreError {
-  std::string text;        // with the file's name
-  bool isDamaged = false;  // no use in trying again
+  std::string text;        // with the file's path
+  bool isDamaged = false;  // the database is damaged, so a retry can't succeed
 };
 
+// Not thread-safe: calls must not overlap.
 class LogStore {
  public:
-  // Opens the log in a folder, or begins one. `checkpointBytes`: of the write-ahead log, before it is written
-  // to the database file. Throws LogError, also where the database file is damaged.
+  // Opens the log in an existing folder, or creates one. `checkpointBytes`: size of the write-ahead log at
+  // which it is written back to the database file. Throws LogError, also if the database file is damaged.
   LogStore(const std::string& folder, std::size_t checkpointBytes);
 
-  // Throws LogError where something is damaged or missing.
+  // Reads the whole log. Throws LogError if it can't be read, or if anything is damaged or missing.
   StoredLog load();
-  // All of them in this order, or none. Blocks for the disk.
+  // Applies all writes in this order, in one transaction. Blocks for the disk. Returns the error, after which
+  // none of them is applied.
   std::optional<StoreError> write(const std::vector<const LogWrite*>& writes);
-  // The snapshot, read back and checked. Throws LogError; nothing: there is none.
+  // Reads the snapshot and verifies its checksum; returns nothing if there is none. Throws LogError.
   std::optional<StoredSnapshot> readSnapshot();
 
  private:
@@ -88,9 +92,9 @@
   void createTables();
   StoredVote readVote();
   std::vector<StoredEntry> readEntries();
-  void requireUnbroken(const StoredLog& log) const;
+  void requireContiguous(const StoredLog& log) const;
   void limitWriteAheadLog();
-  [[noreturn]] void failDamaged(const std::string& what) const;
+  [[noreturn]] void throwDamaged(const std::string& what) const;
 
   void apply(const SaveVote& write);
   void apply(const AppendEntries& write);
--- a/src/consensus/raft_buffer.cpp
+++ b/src/consensus/raft_buffer.cpp
@@ -7,8 +7,8 @@
 namespace cairnjunction::consensus {
 namespace {
 
-constexpr std::size_t kAlignment = 8;
-using Length = std::uint64_t;
+constexpr std::size_t kAlignment = 8;  // bytes
+using Length = std::uint64_t;          // in bytes, at the start of a buffer
 
 }  // namespace
 
--- a/src/consensus/raft_buffer.hpp
+++ b/src/consensus/raft_buffer.hpp
@@ -1,8 +1,8 @@
-// Entries and snapshots as the library stores them: their length, their bytes, and zeros up to a multiple of
-// eight.
+// Encodes entries and snapshots for the library's buffers: their length in bytes, their bytes, and zeros up
+// to a multiple of eight bytes.
 //
-// The library pads what it stores to eight bytes, and copies entries that it received as if whoever proposed
-// them had padded them: of another length it would read past their ends.
+// The library pads data to eight bytes when it stores it. It copies received entries as if the proposer had
+// padded them, and would read past the end of an entry whose length is not a multiple of eight.
 #pragma once
 
 #include <string_view>
@@ -11,11 +11,12 @@
 
 namespace cairnjunction::consensus {
 
-// Allocated by the library's allocator; whoever is given it frees it. Throws std::bad_alloc.
+// Returns a buffer from the library's allocator; the caller owns it and frees it with raft_free. Throws
+// std::bad_alloc.
 raft_buffer toRaftBuffer(std::string_view bytes);
 
-// The bytes in a buffer of toRaftBuffer, as long as that lives; empty for any other one: the state machine
-// decides what it makes of that.
+// Returns the bytes that toRaftBuffer encoded, valid as long as the buffer is. Returns an empty view for a
+// buffer with any other layout, which the state machine must handle.
 std::string_view fromRaftBuffer(const raft_buffer& buffer);
 
 }  // namespace cairnjunction::consensus
--- a/src/consensus/raft_library.hpp
+++ b/src/consensus/raft_library.hpp
@@ -1,4 +1,5 @@
-// The C raft library. Its headers include libuv's, which is C++ as well as C, and are themselves C only.
+// Includes the C raft library. Its headers are C only, so they need extern "C"; they include libuv's header,
+// which also supports C++ and is therefore included first, outside of it.
 #pragma once
 
 #include <uv.h>
--- a/src/consensus/raft_log.cpp
+++ b/src/consensus/raft_log.cpp
@@ -15,16 +15,16 @@
 namespace cairnjunction::consensus {
 namespace {
 
-// In a stop: so long another voter has to take leadership over.
+// How long stop() waits for another voter to become leader.
 constexpr std::chrono::milliseconds kTransferTimeout{500};
-// Before the log is closed: so long writes that are under way have to end.
+// How long pending writes may take before the log is closed.
 constexpr std::chrono::milliseconds kWritesTimeout{2000};
 constexpr unsigned kConnectRetryMs = 200;
-// A leader sends nothing else to a voter that has not answered a snapshot, which may have been stopped over
-// it.
+// Until a voter has answered a snapshot or this timeout has passed, a leader sends it nothing else. The voter
+// may have been stopped while it was installing the snapshot.
 constexpr unsigned kInstallSnapshotTimeoutMs = 2000;
 
-// One that is on its way; the library holds it until its callback.
+// A proposed entry that is not applied yet; the library owns it until its callback.
 struct Proposal {
   struct raft_apply request {};
   ReplicatedLog::Done done;
@@ -44,7 +44,7 @@
       start();
     } catch (...) {
       if (!closed_) close();
-      pump_.runToEnd();
+      pump_.runUntilClosed();
       storage_.release();
       transport_.release();
       throw;
@@ -57,7 +57,7 @@
       pump_.runUntil([this] { return storage_.isIdle(); }, kWritesTimeout);
       close();
     }
-    pump_.runToEnd();
+    pump_.runUntilClosed();
     storage_.release();
     transport_.release();
   }
@@ -67,7 +67,7 @@
 
   bool isLeader() const { return caughtUp_ && !stopping_ && !storage_.pauseReason(); }
   int leader();
-  void onLeadershipChange(std::function<void()> changed) { changed_ = std::move(changed); }
+  void onLeadershipChange(std::function<void()> changed) { leadershipChanged_ = std::move(changed); }
   std::optional<std::string> pauseReason() const { return storage_.pauseReason(); }
   void onPauseChange(std::function<void()> changed) { pauseChanged_ = std::move(changed); }
   void propose(const std::string& entry, Done done);
@@ -87,10 +87,10 @@
   void update();
   void updatePause();
   void updateLeadership();
-  void requireVoting();
+  void throwIfUnavailable();
   void requestBarrier();
   void loseLeadership();
-  void finishStop();
+  void closeAfterWrites();
   void closeIfIdle();
   void close();
 
@@ -112,20 +112,20 @@
   raft raft_{};
   struct raft_barrier barrier_ {};
   struct raft_transfer transfer_ {};
-  std::function<void()> changed_;        // of onLeadershipChange; may be empty
-  std::function<void()> pauseChanged_;   // of onPauseChange; may be empty
-  std::function<void()> stopped_;        // of stop, until it was called
-  boost::asio::steady_timer stopTimer_;  // of the transfer of leadership, then of the writes under way
-  bool leading_ = false;                 // by the library, when it ran last
-  bool barrierRequested_ = false;        // since it began to lead, and since the last pause
-  bool barrierPending_ = false;          // one has not come yet, of these or an earlier one
-  bool paused_ = false;                  // by the storage, when the library ran last
-  bool caughtUp_ = false;                // the barrier has come: the machine has applied all before this term
-  bool stopping_ = false;                // stop was called
-  bool finishing_ = false;               // the transfer is over: it closes once no write is under way
-  bool closing_ = true;                  // raft_close was called, or there is nothing to close yet
-  bool closed_ = true;                   // and has ended
-  std::string snapshotError_;            // why the machine could not take a snapshot
+  std::function<void()> leadershipChanged_;  // callback of onLeadershipChange(); may be empty
+  std::function<void()> pauseChanged_;       // callback of onPauseChange(); may be empty
+  std::function<void()> stopDone_;           // callback of stop(), until it is called
+  boost::asio::steady_timer stopTimer_;      // for the leadership transfer, then for the pending writes
+  bool libraryLeads_ = false;                // the library was leader after its last run
+  bool barrierRequested_ = false;            // in this leadership and since the last pause
+  bool barrierPending_ = false;              // a requested barrier, current or earlier, has not completed
+  bool paused_ = false;                      // the storage was paused after the library's last run
+  bool caughtUp_ = false;          // the barrier completed: all entries of earlier terms are applied
+  bool stopping_ = false;          // stop() was called
+  bool waitingForWrites_ = false;  // the transfer has ended: closes once no write is pending
+  bool closing_ = true;            // raft_close was called, or there is nothing to close yet
+  bool closed_ = true;             // raft_close has completed, or there is nothing to close yet
+  std::string snapshotError_;      // why the machine could not restore a snapshot
   CallbackGuard lifetime_;
 };
 
@@ -146,20 +146,20 @@
   openLog();
   bootstrap();
   startRaft();
-  pump_.runSoon();
+  pump_.scheduleRun();
 }
 
 void RaftLog::Impl::openTransport() {
   require(transport_.open(pump_.loop()), "links");
   require(transport_.listenAt(options_.listen), "listen");
-  transport_.connectBy(options_.voters);
+  transport_.setVoterAddresses(options_.voters);
 }
 
 void RaftLog::Impl::openStorage() {
   require(storage_.open(pump_.loop(), options_.folder, transport_), "folder");
   raft_uv_set_connect_retry_delay(&storage_, kConnectRetryMs);
-  // By default the library moves a file of an earlier version's log that it can't read out of the way, and
-  // goes on to vote without the entries that it had acknowledged.
+  // With auto-recovery, the library's default, it moves an unreadable log file of an earlier version out of
+  // the way, and the voter continues without entries that it had acknowledged.
   raft_uv_set_auto_recovery(&storage_, false);
 }
 
@@ -174,7 +174,7 @@
 void RaftLog::Impl::openRaft() {
   const std::string own = RaftTransport::placeholder(options_.number);
   require(raft_init(&raft_, &storage_, &fsm_, static_cast<raft_id>(options_.number), own.c_str()),
-          "not begun");
+          "not initialized");
   closed_ = false;
   closing_ = false;
   raft_set_election_timeout(&raft_, static_cast<unsigned>(options_.electionTimeout.count()));
@@ -187,7 +187,7 @@
 
 void RaftLog::Impl::openLog() { storage_.openLog(raft_, options_.segmentBytes); }
 
-// The first entry of a new log names the voters; a log that is there has one already.
+// Writes the list of voters as the first entry of a new log. An existing log has this entry already.
 void RaftLog::Impl::bootstrap() {
   raft_configuration voters;
   raft_configuration_init(&voters);
@@ -198,7 +198,7 @@
                                     RaftTransport::placeholder(number).c_str(), RAFT_VOTER);
   if (code == 0) code = raft_bootstrap(&raft_, &voters);
   raft_configuration_close(&voters);
-  if (code != RAFT_CANTBOOTSTRAP) require(code, "not set up");
+  if (code != RAFT_CANTBOOTSTRAP) require(code, "not bootstrapped");
 }
 
 void RaftLog::Impl::startRaft() {
@@ -229,23 +229,23 @@
     of(fsm).snapshotError_ = error.what();
     return RAFT_CORRUPT;
   }
-  raft_free(snapshot->base);  // ours once it is taken
+  raft_free(snapshot->base);  // the machine has copied it, and on success we own it
   return 0;
 }
 
 // --- Leadership -------------------------------------------------------------------------------------------
 
-// Each time that the library has run: it does not say when it begins or ceases to lead.
+// Called after each run of the library, which has no callback for gaining or losing leadership.
 void RaftLog::Impl::update() {
   if (closing_) return;
-  requireVoting();
+  throwIfUnavailable();
   updatePause();
   updateLeadership();
-  if (finishing_) closeIfIdle();
+  if (waitingForWrites_) closeIfIdle();
 }
 
-// Behind a pause it leads again by a new barrier only, also where the library has not stepped down: entries
-// of its own from before the pause may still be applied.
+// After a pause this voter counts as leader only once a new barrier has completed, even if the library has
+// not stepped down: its own entries from before the pause may not be applied yet.
 void RaftLog::Impl::updatePause() {
   const bool paused = storage_.pauseReason().has_value();
   if (std::exchange(paused_, paused) == paused) return;
@@ -258,43 +258,43 @@
 
 void RaftLog::Impl::updateLeadership() {
   const bool leads = raft_state(&raft_) == RAFT_LEADER;
-  if (leads && !leading_) barrierRequested_ = false;
-  if (!leads && leading_) {
-    leading_ = false;
+  if (leads && !libraryLeads_) barrierRequested_ = false;
+  if (!leads && libraryLeads_) {
+    libraryLeads_ = false;
     loseLeadership();
   }
-  leading_ = leads;
-  if (leading_ && !paused_ && !barrierRequested_ && !barrierPending_ && !stopping_) requestBarrier();
-  if (stopping_ && !leading_) finishStop();
+  libraryLeads_ = leads;
+  if (libraryLeads_ && !paused_ && !barrierRequested_ && !barrierPending_ && !stopping_) requestBarrier();
+  if (stopping_ && !libraryLeads_) closeAfterWrites();
 }
 
-// The library leaves its part without a word where it can't go on, and the voter would stay as if it were cut
-// off.
-void RaftLog::Impl::requireVoting() {
+// If the library can't continue, it becomes unavailable without a notification. The voter would then look as
+// if it were unreachable, so this throws.
+void RaftLog::Impl::throwIfUnavailable() {
   if (const auto damage = storage_.damage()) throw LogError(*damage);
   if (stopping_ || raft_state(&raft_) != RAFT_UNAVAILABLE) return;
-  throw LogError(options_.folder + ": the voter can't go on: " + raft_errmsg(&raft_));
+  throw LogError(options_.folder + ": the voter can't continue: " + raft_errmsg(&raft_));
 }
 
-// A leader may have committed entries of earlier terms that its machine has not applied; the barrier comes
-// behind them.
+// A new leader's machine may not have applied all committed entries of earlier terms yet. The barrier
+// completes after them.
 void RaftLog::Impl::requestBarrier() {
   barrier_.data = this;
   barrierRequested_ = raft_barrier(&raft_, &barrier_, &Impl::onBarrier) == 0;
   barrierPending_ = barrierRequested_;
-  pump_.runSoon();
+  pump_.scheduleRun();
 }
 
 void RaftLog::Impl::onBarrier(struct raft_barrier* request, int status) {
   Impl& self = *static_cast<Impl*>(request->data);
   self.barrierPending_ = false;
   self.caughtUp_ = status == 0 && self.barrierRequested_;
-  if (self.caughtUp_ && self.changed_)
-    boost::asio::post(self.io_, self.lifetime_.guard([&self] { self.changed_(); }));
+  if (self.caughtUp_ && self.leadershipChanged_)
+    boost::asio::post(self.io_, self.lifetime_.guard([&self] { self.leadershipChanged_(); }));
 }
 
 void RaftLog::Impl::loseLeadership() {
-  if (std::exchange(caughtUp_, false) && changed_) changed_();
+  if (std::exchange(caughtUp_, false) && leadershipChanged_) leadershipChanged_();
 }
 
 int RaftLog::Impl::leader() {
@@ -307,18 +307,18 @@
 // --- Proposals --------------------------------------------------------------------------------------------
 
 void RaftLog::Impl::propose(const std::string& entry, Done done) {
-  if (!isLeader() || entry.size() > kEntryMost) return done(false);
+  if (!isLeader() || entry.size() > kMaxEntryBytes) return done(false);
   auto proposal = std::make_unique<Proposal>();
   proposal->done = std::move(done);
   proposal->request.data = proposal.get();
   raft_buffer buffer = toRaftBuffer(entry);
   const int code = raft_apply(&raft_, &proposal->request, &buffer, 1, &Impl::onApplied);
-  pump_.runSoon();
+  pump_.scheduleRun();
   if (code != 0) {
     raft_free(buffer.base);
     return proposal->done(false);
   }
-  (void)proposal.release();  // the library's until onApplied
+  (void)proposal.release();  // owned by the library until onApplied
 }
 
 void RaftLog::Impl::onApplied(struct raft_apply* request, int status, void* /*result*/) {
@@ -331,25 +331,25 @@
 void RaftLog::Impl::stop(std::function<void()> done) {
   if (stopping_) return;
   stopping_ = true;
-  stopped_ = std::move(done);
+  stopDone_ = std::move(done);
   loseLeadership();
-  if (!leading_ || raft_transfer(&raft_, &transfer_, 0, nullptr) != 0) return finishStop();
-  pump_.runSoon();
+  if (!libraryLeads_ || raft_transfer(&raft_, &transfer_, 0, nullptr) != 0) return closeAfterWrites();
+  pump_.scheduleRun();
   stopTimer_.expires_after(kTransferTimeout);
   stopTimer_.async_wait(lifetime_.guard([this](boost::system::error_code ec) {
-    if (!ec && !closing_) finishStop();
+    if (!ec && !closing_) closeAfterWrites();
   }));
 }
 
-void RaftLog::Impl::finishStop() {
-  if (finishing_) return;
-  finishing_ = true;
+void RaftLog::Impl::closeAfterWrites() {
+  if (waitingForWrites_) return;
+  waitingForWrites_ = true;
   storage_.dropMessages();
   stopTimer_.expires_after(kWritesTimeout);
   stopTimer_.async_wait(lifetime_.guard([this](boost::system::error_code ec) {
     if (!ec && !closing_) close();
   }));
-  pump_.runSoon();  // and then closeIfIdle
+  pump_.scheduleRun();  // update() then calls closeIfIdle()
 }
 
 void RaftLog::Impl::closeIfIdle() {
@@ -362,18 +362,18 @@
   closing_ = true;
   raft_.data = this;
   raft_close(&raft_, &Impl::onClosed);
-  pump_.runSoon();
+  pump_.scheduleRun();
 }
 
-// Posted, since the owner may destroy the log in its callback, which the library does not allow within its
-// own.
+// Posts the stop callback, because it may destroy the log, which the library does not allow within its own
+// callback.
 void RaftLog::Impl::onClosed(raft* library) {
   Impl& self = *static_cast<Impl*>(library->data);
   self.closed_ = true;
-  if (self.stopped_) boost::asio::post(self.io_, std::exchange(self.stopped_, nullptr));
+  if (self.stopDone_) boost::asio::post(self.io_, std::exchange(self.stopDone_, nullptr));
 }
 
-// --- The interface ----------------------------------------------------------------------------------------
+// --- RaftLog ----------------------------------------------------------------------------------------------
 
 RaftLog::RaftLog(boost::asio::io_context& io, const RaftOptions& options, StateMachine& machine)
     : impl_(std::make_unique<Impl>(io, options, machine)) {}
--- a/src/consensus/raft_log.hpp
+++ b/src/consensus/raft_log.hpp
@@ -1,4 +1,5 @@
-// The log on C raft, with its disk and its TCP links, driven from our event loop.
+// The replicated log, implemented with the C raft library. Its disk and its TCP connections run on a libuv
+// loop that the Asio event loop drives.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,25 +16,27 @@
 namespace cairnjunction::consensus {
 
 struct RaftOptions {
-  std::string folder;  // made by the caller; the log's alone, and used by one process at a time
+  std::string folder;  // must exist; for this log only, and used by one process at a time
   int number = 0;      // of this voter, from 1
   std::string listen;  // IPv4 address:port at which the other voters reach this one
-  // All voters by number, this one too, with the address:port at which this one reaches them.
+  // All voters by number, including this one, with the address:port at which this voter reaches them.
   std::map<int, std::string> voters;
-  // A follower that hears nothing of a leader for so long, drawn up to twice that, begins an election.
+  // A follower starts an election if it has not heard from a leader for a random time between this timeout
+  // and twice this timeout.
   std::chrono::milliseconds electionTimeout{1000};
   std::chrono::milliseconds heartbeatInterval{100};  // of the leader
   unsigned snapshotThreshold = 1024;                 // entries between two snapshots
-  unsigned snapshotTrailing = 256;     // entries kept behind a snapshot, for a follower that is a little late
-  std::size_t segmentBytes = 1 << 20;  // of the write-ahead log, before it is written to the database
+  unsigned snapshotTrailing = 256;  // entries covered by a snapshot but kept, for followers slightly behind
+  std::size_t segmentBytes = 1 << 20;  // write-ahead log size at which it is written back to the database
 };
 
 class RaftLog final : public ReplicatedLog {
  public:
-  // Starts at once. A folder without a log begins one with all voters of the options. `machine` must outlive
-  // the log. Throws LogError; so does the event loop's run(), later, when the voter can't go on.
+  // Starts the voter at once. A folder without a log gets a new one, whose first entry lists all voters of
+  // the options. `machine` must outlive the log. Throws LogError. Later, if the voter can't continue, the
+  // event loop's run() throws LogError.
   RaftLog(boost::asio::io_context& io, const RaftOptions& options, StateMachine& machine);
-  // Ends it without handing leadership over, if stop() has not; blocks until its files are closed.
+  // Closes the log if stop() has not, without transferring leadership. Blocks until its files are closed.
   ~RaftLog() override;
   RaftLog(const RaftLog&) = delete;
   RaftLog& operator=(const RaftLog&) = delete;
@@ -47,7 +50,7 @@
   void stop(std::function<void()> done) override;
 
  private:
-  class Impl;  // what the library needs and calls
+  class Impl;  // keeps the library's types out of this header
   std::unique_ptr<Impl> impl_;
 };
 
--- a/src/consensus/raft_records.cpp
+++ b/src/consensus/raft_records.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-// Never of zero bytes, for which the library's allocator may return null.
+// Allocates at least one byte, since the library's allocator may return null for zero bytes.
 void* allocate(std::size_t size) {
   void* const memory = raft_malloc(std::max<std::size_t>(size, 1));
   if (!memory) throw std::bad_alloc();
@@ -77,11 +77,12 @@
     loaded[i].term = entries[i].term;
     loaded[i].type = static_cast<unsigned short>(entries[i].type);
     loaded[i].buf = copyOf(entries[i].data);
-    loaded[i].batch = loaded[i].buf.base;  // each is a batch of its own
+    loaded[i].batch = loaded[i].buf.base;  // each entry is its own batch, and so is freed on its own
   }
   return loaded;
 }
 
+// Entries of one batch are consecutive and share one allocation.
 void freeRaftEntries(raft_entry* entries, std::size_t count) {
   const void* freed = nullptr;
   for (std::size_t i = 0; i < count; ++i) {
--- a/src/consensus/raft_records.hpp
+++ b/src/consensus/raft_records.hpp
@@ -1,4 +1,4 @@
-// What the consensus library keeps on a disk, as the types of LogStore, and back.
+// Converts entries and snapshots between the consensus library's types and those of LogStore.
 #pragma once
 
 #include <memory>
@@ -11,20 +11,21 @@
 
 namespace cairnjunction::consensus {
 
-// Entries `first` and following.
+// Copies `count` entries, of which the first one has the index `first`.
 std::vector<StoredEntry> toStoredEntries(raft_index first, const raft_entry* entries, std::size_t count);
 StoredSnapshot toStoredSnapshot(const raft_snapshot& snapshot);
 
-// Entries in the library's memory, which is its own once it has them; null for none. Throws std::bad_alloc.
+// Returns a copy in memory from the library's allocator, or null for no entries. The caller passes it to the
+// library, which then owns it, or frees it with freeRaftEntries. Throws std::bad_alloc.
 raft_entry* toRaftEntries(const std::vector<StoredEntry>& entries);
 void freeRaftEntries(raft_entry* entries, std::size_t count);
 
 struct RaftSnapshotDeleter {
   void operator()(raft_snapshot* snapshot) const;
 };
-// In the library's memory, to be released to it.
+// A snapshot in memory from the library's allocator. To pass it to the library, call release().
 using RaftSnapshotPtr = std::unique_ptr<raft_snapshot, RaftSnapshotDeleter>;
-// Throws std::bad_alloc, and std::invalid_argument where the voters can't be read.
+// Throws std::bad_alloc, and std::invalid_argument if the configuration can't be decoded.
 RaftSnapshotPtr toRaftSnapshot(const StoredSnapshot& snapshot);
 
 }  // namespace cairnjunction::consensus
--- a/src/consensus/raft_storage.cpp
+++ b/src/consensus/raft_storage.cpp
@@ -10,12 +10,12 @@
 namespace cairnjunction::consensus {
 namespace {
 
-// With more waiting to be written the voter is paused.
-constexpr std::size_t kPendingBytesMost = 8 << 20;
-// With more waiting for a vote to be written as well.
-constexpr std::size_t kHeldMessagesMost = 64;
+// With more data pending to be written, the voter is paused.
+constexpr std::size_t kMaxPendingBytes = 8 << 20;
+// With more messages deferred until the vote is written, the voter is paused.
+constexpr std::size_t kMaxDeferredMessages = 64;
 
-// What the receiver of a message owns of it.
+// Frees the parts of a received message that its receiver owns.
 void freeMessage(raft_message& message) {
   if (message.type == RAFT_IO_APPEND_ENTRIES && message.append_entries.n_entries > 0) {
     raft_free(message.append_entries.entries[0].batch);
@@ -26,6 +26,7 @@
   }
 }
 
+// Sets the error message that the library reports; returns the result code.
 int fail(raft_io* storage, const std::string& text) {
   const std::size_t length = std::min(text.size(), sizeof storage->errmsg - 1);
   std::memcpy(storage->errmsg, text.data(), length);
@@ -46,11 +47,11 @@
   if (code != 0) return code;
   loop_ = loop;
   folder_ = folder;
-  replaceFunctions();
+  replaceLibraryFunctions();
   return 0;
 }
 
-void RaftStorage::replaceFunctions() {
+void RaftStorage::replaceLibraryFunctions() {
   libraryClose_ = std::exchange(close, &RaftStorage::closeStorage);
   libraryLoad_ = std::exchange(load, &RaftStorage::loadLog);
   libraryStart_ = std::exchange(start, &RaftStorage::startReceiving);
@@ -74,7 +75,7 @@
     loaded_ = readFormerLog();
     if (const auto error = importFormerLog(*store_, loaded_)) throw LogError(error->text);
   }
-  // Also where an earlier start ended between the two.
+  // Done at every start, because an earlier one may have ended after the import and before the removal.
   removeFormerLogFiles(folder_);
   queue_.emplace(loop_, *store_);
 }
@@ -107,13 +108,13 @@
 
 void RaftStorage::closeStorage(raft_io* storage, raft_io_close_cb done) {
   RaftStorage& self = of(storage);
-  self.closed_ = done;
-  const auto closeLinks = [&self] {
-    self.failHeld();
-    self.libraryClose_(&self, self.closed_);
+  self.closeCallback_ = done;
+  const auto closeLibrary = [&self] {
+    self.failDeferredMessages();
+    self.libraryClose_(&self, self.closeCallback_);
   };
-  if (self.queue_) self.queue_->close(closeLinks);
-  else closeLinks();
+  if (self.queue_) self.queue_->close(closeLibrary);
+  else closeLibrary();
 }
 
 // --- Start ------------------------------------------------------------------------------------------------
@@ -140,22 +141,22 @@
   return 0;
 }
 
-// The first entry of a new log is its configuration.
+// Writes the configuration as the first entry of a new log.
 int RaftStorage::bootstrapLog(raft_io* storage, const raft_configuration* configuration) {
   RaftStorage& self = of(storage);
   if (!self.loaded_.isNew()) return RAFT_CANTBOOTSTRAP;
   raft_entry first{1, RAFT_CHANGE, {}, nullptr};
   if (const int code = raft_configuration_encode(configuration, &first.buf); code != 0) return code;
-  const StoredLog begun{{1, 0}, std::nullopt, toStoredEntries(1, &first, 1)};
+  const StoredLog bootstrapped{{1, 0}, std::nullopt, toStoredEntries(1, &first, 1)};
   raft_free(first.buf.base);
-  const LogWrite vote = SaveVote{begun.vote};
-  const LogWrite entries = AppendEntries{begun.entries};
+  const LogWrite vote = SaveVote{bootstrapped.vote};
+  const LogWrite entries = AppendEntries{bootstrapped.entries};
   if (const auto error = self.store_->write({&vote, &entries})) return fail(storage, error->text);
-  self.loaded_ = begun;
+  self.loaded_ = bootstrapped;
   return 0;
 }
 
-// Only by hand, with a program of the library's own.
+// Not supported: a recovery with a new configuration is done by hand only, with a program of the library's.
 int RaftStorage::recoverLog(raft_io* /*storage*/, const raft_configuration* /*configuration*/) {
   return RAFT_INVALID;
 }
@@ -176,11 +177,12 @@
   return 0;
 }
 
-// The library takes term and vote for written once it has set them: nobody hears of them before they are.
+// The library treats term and vote as written once it has set them, so messages are deferred until they are
+// on the disk.
 void RaftStorage::saveVote() {
-  ++votesPending_;
+  ++pendingVotes_;
   queue_->push(SaveVote{vote_}, [this](bool written) {
-    if (--votesPending_ == 0 && written) sendHeld();
+    if (--pendingVotes_ == 0 && written) sendDeferredMessages();
   });
 }
 
@@ -201,7 +203,8 @@
   return 0;
 }
 
-// An own snapshot keeps some entries behind it; one of the leader's goes in place of all of them.
+// This voter's own snapshot keeps the last `trailing` entries. A leader's snapshot, for which the library
+// passes 0, replaces all entries.
 int RaftStorage::putSnapshot(raft_io* storage, unsigned trailing, raft_io_snapshot_put* request,
                              const raft_snapshot* snapshot, raft_io_snapshot_put_cb done) {
   RaftStorage& self = of(storage);
@@ -210,10 +213,10 @@
   if (!isInstall) write.firstKept = snapshot->index > trailing ? snapshot->index - trailing + 1 : 1;
   if (isInstall) {
     self.lastIndex_ = snapshot->index;
-    ++self.installs_;
+    ++self.pendingInstalls_;
   }
   self.queue_->push(std::move(write), [&self, isInstall, request, done](bool written) {
-    if (isInstall) --self.installs_;
+    if (isInstall) --self.pendingInstalls_;
     done(request, written ? 0 : RAFT_CANCELED);
   });
   return 0;
@@ -237,15 +240,15 @@
 // --- Pausing ----------------------------------------------------------------------------------------------
 
 bool RaftStorage::isPaused() const {
-  return queue_ && (queue_->failure() || queue_->pendingBytes() > kPendingBytesMost ||
-                    held_.size() > kHeldMessagesMost);
+  return queue_ && (queue_->failure() || queue_->pendingBytes() > kMaxPendingBytes ||
+                    deferredMessages_.size() > kMaxDeferredMessages);
 }
 
 std::optional<std::string> RaftStorage::pauseReason() const {
   if (!isPaused()) return std::nullopt;
   if (queue_->failure()) return queue_->failure()->text;
-  return std::to_string(queue_->pendingBytes()) + " bytes and " + std::to_string(held_.size()) +
-         " messages wait for the disk";
+  return std::to_string(queue_->pendingBytes()) + " bytes and " + std::to_string(deferredMessages_.size()) +
+         " messages are waiting for the disk";
 }
 
 std::optional<std::string> RaftStorage::damage() const {
@@ -258,28 +261,29 @@
 int RaftStorage::startReceiving(raft_io* storage, unsigned tickMs, raft_io_tick_cb tick,
                                 raft_io_recv_cb receive) {
   RaftStorage& self = of(storage);
-  self.tick_ = tick;
-  self.receive_ = receive;
+  self.tickCallback_ = tick;
+  self.receiveCallback_ = receive;
   return self.libraryStart_(storage, tickMs, &RaftStorage::onTick, &RaftStorage::onMessage);
 }
 
-// A leader that is paused goes on counting the time since it heard of a majority, until it steps down.
+// A paused leader still gets ticks, so that it steps down once it has not heard from a majority for the
+// election timeout.
 void RaftStorage::onTick(raft_io* storage) {
   RaftStorage& self = of(storage);
   self.queue_->retryIfDue();
   if (self.isPaused()) {
-    self.failHeld();
+    self.failDeferredMessages();
     if (self.voter_->state != RAFT_LEADER) return;
   }
-  if (self.installs_ == 0) self.tick_(storage);
+  if (self.pendingInstalls_ == 0) self.tickCallback_(storage);
 }
 
 void RaftStorage::onMessage(raft_io* storage, raft_message* message) {
   RaftStorage& self = of(storage);
   if (self.droppingMessages_ || self.isPaused()) return freeMessage(*message);
-  if (message->type != RAFT_IO_APPEND_ENTRIES) return self.receive_(storage, message);
+  if (message->type != RAFT_IO_APPEND_ENTRIES) return self.receiveCallback_(storage, message);
   self.guard_->beginReceiving(message->append_entries);
-  self.receive_(storage, message);
+  self.receiveCallback_(storage, message);
   self.guard_->endReceiving();
 }
 
@@ -289,24 +293,24 @@
   if (!message->server_address) return RAFT_NOCONNECTION;
   raft_message sent = *message;
   if (sent.type == RAFT_IO_APPEND_ENTRIES_RESULT) self.guard_->limitResult(sent.append_entries_result);
-  if (self.votesPending_ == 0 && !self.isPaused()) return self.librarySend_(storage, request, &sent, done);
-  self.held_.push_back({sent, message->server_address, request, done});
+  if (self.pendingVotes_ == 0 && !self.isPaused()) return self.librarySend_(storage, request, &sent, done);
+  self.deferredMessages_.push_back({sent, message->server_address, request, done});
   return 0;
 }
 
-void RaftStorage::sendHeld() {
-  std::deque<HeldMessage> held = std::exchange(held_, {});
-  for (HeldMessage& each : held) {
+void RaftStorage::sendDeferredMessages() {
+  std::deque<DeferredMessage> held = std::exchange(deferredMessages_, {});
+  for (DeferredMessage& each : held) {
     each.message.server_address = each.address.c_str();
     const int code = librarySend_(this, each.request, &each.message, each.done);
     if (code != 0) each.done(each.request, code);
   }
 }
 
-// For the library as if the link were down.
-void RaftStorage::failHeld() {
-  std::deque<HeldMessage> held = std::exchange(held_, {});
-  for (const HeldMessage& each : held) each.done(each.request, RAFT_NOCONNECTION);
+// Reports to the library that the messages could not be sent, as if the connection were down.
+void RaftStorage::failDeferredMessages() {
+  std::deque<DeferredMessage> held = std::exchange(deferredMessages_, {});
+  for (const DeferredMessage& each : held) each.done(each.request, RAFT_NOCONNECTION);
 }
 
 }  // namespace cairnjunction::consensus
--- a/src/consensus/raft_storage.hpp
+++ b/src/consensus/raft_storage.hpp
@@ -1,16 +1,17 @@
-// The consensus library's disk and messages. The disk is our own (LogStore); links, clock and timer are the
-// library's. Its own disk (0.15) can't be used: a write that fails is the last one that it takes, a snapshot
-// that was not written is read all the same, and a voter can't be closed while a write is under way.
+// The storage and the messages of the consensus library. Storage is our own (LogStore); connections, clock
+// and timer are the library's. The library's own storage (0.15) can't be used: it accepts no write after a
+// failed one, reads a snapshot even if its write failed, and does not let a voter close while a write is in
+// progress.
 //
-// A voter whose disk fails, or is far behind with its writes, is paused until it has caught up: it takes no
-// messages and sends none, so it acknowledges nothing; it begins no election; and it ceases to lead, since it
-// hears of no majority. No write fails for the library: it is tried again until it succeeds. What is sent
-// behind a change of term or vote waits until that is on the disk.
+// A voter is paused while its disk fails or too many writes are pending. A paused voter drops received
+// messages and sends none, so it acknowledges nothing; it starts no election; and if it leads, it steps down
+// because it hears from no majority. The library never sees a write fail: writes are retried until they
+// succeed. A message sent after a change of term or vote is deferred until that change is on the disk.
 //
-// A follower that has installed a snapshot sends the result to its leader, also where it has forgotten that
-// one's address, or has become a candidate, which keeps other data in its place. So no election begins while
-// a snapshot is installed, and a message without a receiver is not sent. For the messages that append entries
-// see AppendEntriesGuard.
+// After installing a snapshot, the library sends the result to its leader even if it no longer has the
+// leader's address, or has become a candidate, which uses the same memory for other data. Therefore no
+// election starts while a snapshot is being installed, and a message without a receiver's address is not
+// sent. For append-entries messages see AppendEntriesGuard.
 #pragma once
 
 #include <cstddef>
@@ -26,8 +27,8 @@
 
 namespace cairnjunction::consensus {
 
-// Has the library's disk and links as its base, since that is what the library calls back with; `data` of it
-// is the library's.
+// Derives from the library's I/O interface, because that is what the library passes to the callbacks. The
+// member `data` of it belongs to the library.
 class RaftStorage : public raft_io {
  public:
   RaftStorage();
@@ -35,27 +36,28 @@
   RaftStorage(const RaftStorage&) = delete;
   RaftStorage& operator=(const RaftStorage&) = delete;
 
-  // First, before raft_init. Returns the library's code: 0 is success. The transport must outlive this.
+  // Call this first, before raft_init. Returns the library's result code; 0 is success. `transport` must
+  // outlive this object.
   int open(uv_loop_t* loop, const std::string& folder, RaftTransport& transport);
-  // After raft_init: reads the log, or takes over the one that an earlier version kept in the library's
-  // files. `voter` is the one that was initialised. Throws LogError.
+  // Call this after raft_init, with the voter that it initialized. Loads the log, or imports the one that an
+  // earlier version stored in the library's files. `checkpointBytes`: see LogStore. Throws LogError.
   void openLog(const raft& voter, std::size_t checkpointBytes);
-  // After the library has closed, or could not be opened; once.
+  // Call this once, after the library has closed, or if it could not be opened.
   void release();
 
-  // From now on the library gets no messages of other voters, so nothing that it would write begins by them.
+  // From now on messages of other voters are dropped, so they cause no further writes.
   void dropMessages() { droppingMessages_ = true; }
-  // No write is under way.
+  // Whether no write and no read is pending or in progress.
   bool isIdle() const { return !queue_ || queue_->isIdle(); }
-  // Why the voter is paused; nothing: it is not.
+  // Why the voter is paused; empty: it is not paused.
   std::optional<std::string> pauseReason() const;
-  // The disk's content is damaged: the voter can't go on.
+  // What is damaged in the database, in which case the voter can't continue; empty: nothing is known to be.
   std::optional<std::string> damage() const;
 
  private:
-  struct HeldMessage {
+  struct DeferredMessage {
     raft_message message;
-    std::string address;  // the message's own, which may go before it is sent
+    std::string address;  // a copy, since the library may free the message's before it is sent
     raft_io_send* request;
     raft_io_send_cb done;
   };
@@ -80,20 +82,21 @@
   static void onTick(raft_io* storage);
   static void onMessage(raft_io* storage, raft_message* message);
 
-  void replaceFunctions();
+  void replaceLibraryFunctions();
   StoredLog readFormerLog();
   void saveVote();
   bool isPaused() const;
-  void sendHeld();
-  void failHeld();
+  void sendDeferredMessages();
+  void failDeferredMessages();
 
   decltype(raft_io::close) libraryClose_ = nullptr;
   decltype(raft_io::load) libraryLoad_ = nullptr;
   decltype(raft_io::start) libraryStart_ = nullptr;
   decltype(raft_io::send) librarySend_ = nullptr;
-  raft_io_close_cb closed_ = nullptr;  // the consensus' own, as the two below
-  raft_io_tick_cb tick_ = nullptr;
-  raft_io_recv_cb receive_ = nullptr;
+  // Callbacks of the consensus library.
+  raft_io_close_cb closeCallback_ = nullptr;
+  raft_io_tick_cb tickCallback_ = nullptr;
+  raft_io_recv_cb receiveCallback_ = nullptr;
 
   const raft* voter_ = nullptr;
   std::optional<AppendEntriesGuard> guard_;
@@ -101,12 +104,13 @@
   std::string folder_;
   std::optional<LogStore> store_;
   std::optional<WriteQueue> queue_;
-  StoredLog loaded_;              // until the library has taken it
-  StoredVote vote_;               // the latest, which may still wait to be written
-  raft_index lastIndex_ = 0;      // of the entries, the same
-  std::size_t votesPending_ = 0;  // that wait to be written
-  std::size_t installs_ = 0;      // snapshots of a leader, the same
-  std::deque<HeldMessage> held_;  // until no vote is pending
+  StoredLog loaded_;                 // until loadLog has passed it to the library
+  StoredVote vote_;                  // the latest one, whose write may be pending
+  raft_index lastIndex_ = 0;         // of the latest entry, whose write may be pending
+  std::size_t pendingVotes_ = 0;     // number of pending writes of term and vote
+  std::size_t pendingInstalls_ = 0;  // number of pending writes of a leader's snapshot
+  // Oldest first; sent once no write of term and vote is pending.
+  std::deque<DeferredMessage> deferredMessages_;
   bool droppingMessages_ = false;
 };
 
--- a/src/consensus/sqlite.cpp
+++ b/src/consensus/sqlite.cpp
@@ -5,7 +5,7 @@
 namespace cairnjunction::consensus {
 namespace {
 
-constexpr int kPrimaryCodeMask = 0xff;  // an extended result code has the primary one in its lowest byte
+constexpr int kPrimaryCodeMask = 0xff;  // the lowest byte of an extended result code is the primary one
 
 [[noreturn]] void fail(sqlite3* database, int code) {
   throw SqliteError(code & kPrimaryCodeMask, database ? sqlite3_errmsg(database) : sqlite3_errstr(code));
@@ -48,11 +48,11 @@
   require(sqlite3_reset(statement_.get()));
 }
 
-std::uint64_t SqliteStatement::number(int column) {
+std::uint64_t SqliteStatement::integer(int column) {
   return static_cast<std::uint64_t>(sqlite3_column_int64(statement_.get(), column));
 }
 
-std::string SqliteStatement::bytes(int column) {
+std::string SqliteStatement::blob(int column) {
   const void* data = sqlite3_column_blob(statement_.get(), column);
   const int size = sqlite3_column_bytes(statement_.get(), column);
   return data ? std::string(static_cast<const char*>(data), static_cast<std::size_t>(size)) : std::string();
@@ -66,17 +66,17 @@
       sqlite3_open_v2(path.c_str(), &opened, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr);
   database_.reset(opened);
   if (code != SQLITE_OK) fail(opened, code);
-  // Exclusive first: the index of the write-ahead log is then kept in memory, not in a mapped file.
+  // Set the exclusive mode before WAL: SQLite then keeps the WAL index in memory instead of a mapped file.
   execute("PRAGMA page_size=4096");
   execute("PRAGMA locking_mode=EXCLUSIVE");
   if (const std::string mode = queryText("PRAGMA journal_mode=WAL"); mode != "wal")
     throw SqliteError(SQLITE_CANTOPEN, "journal mode " + mode + ", expected wal");
   execute("PRAGMA synchronous=FULL");
-  const auto keepPages = [](void* pages, sqlite3*, const char*, int count) {
+  const auto storePageCount = [](void* pages, sqlite3*, const char*, int count) {
     *static_cast<std::size_t*>(pages) = static_cast<std::size_t>(count);
     return SQLITE_OK;
   };
-  sqlite3_wal_hook(database_.get(), keepPages, writeAheadPages_.get());
+  sqlite3_wal_hook(database_.get(), storePageCount, writeAheadPages_.get());
 }
 
 void SqliteDatabase::Closer::operator()(sqlite3* database) const { sqlite3_close_v2(database); }
@@ -88,7 +88,7 @@
 
 std::string SqliteDatabase::queryText(const char* sql) {
   SqliteStatement statement = prepare(sql);
-  return statement.step() ? statement.bytes(0) : std::string();
+  return statement.step() ? statement.blob(0) : std::string();
 }
 
 void SqliteDatabase::checkpoint() {
@@ -98,7 +98,8 @@
   *writeAheadPages_ = 0;
 }
 
-// After some failures SQLite has rolled back already, and says that there is no transaction.
+// Ignores the result: after some failures SQLite has rolled back already, and reports that no transaction is
+// active.
 void SqliteDatabase::rollBack() { sqlite3_exec(database_.get(), "ROLLBACK", nullptr, nullptr, nullptr); }
 
 }  // namespace cairnjunction::consensus
--- a/src/consensus/sqlite.hpp
+++ b/src/consensus/sqlite.hpp
@@ -1,4 +1,4 @@
-// SQLite behind types that release what they hold, with errors as exceptions.
+// RAII wrappers of an SQLite database and its statements, which report errors as exceptions.
 #pragma once
 
 #include <cstddef>
@@ -14,25 +14,26 @@
 namespace cairnjunction::consensus {
 
 struct SqliteError : std::runtime_error {
-  SqliteError(int failedWith, const std::string& text) : std::runtime_error(text), code(failedWith) {}
+  SqliteError(int resultCode, const std::string& text) : std::runtime_error(text), code(resultCode) {}
   int code;  // SQLite's primary result code
 };
 
-// A prepared statement; must not outlive its database. Parameters and columns are counted as SQLite does:
-// those from 1, these from 0.
+// A prepared statement; must not outlive its database. As in SQLite, parameters are numbered from 1 and
+// columns from 0. All functions except integer() and blob() throw SqliteError.
 class SqliteStatement {
  public:
   SqliteStatement(sqlite3* database, const char* sql);
 
   void bind(int parameter, std::uint64_t value);
-  // The bytes must live until the statement has run.
+  // Binds a blob without copying it: the bytes must stay valid until the statement has run.
   void bind(int parameter, std::string_view bytes);
-  // Runs up to the next row; false: there is none.
+  // Runs the statement to its next row; returns false if there is none.
   bool step();
-  // Runs to its end, and makes it ready to be bound and run again.
+  // Runs the statement to its end and resets it, so that it can be bound and run again.
   void run();
-  std::uint64_t number(int column);
-  std::string bytes(int column);
+  // The value of a column in the current row.
+  std::uint64_t integer(int column);
+  std::string blob(int column);
 
  private:
   struct Finalizer {
@@ -44,18 +45,18 @@
   std::unique_ptr<sqlite3_stmt, Finalizer> statement_;
 };
 
-// A database file that this process has for itself, with a write-ahead log: a transaction that has ended is
-// on the disk. Used by one thread at a time.
+// A database file that is locked for this process only, with a write-ahead log. A committed transaction is on
+// the disk. Not thread-safe: calls must not overlap. Functions that access the file throw SqliteError.
 class SqliteDatabase {
  public:
-  // Opens the file, or makes it. Throws SqliteError, also where another process has it.
+  // Opens the file, or creates it. Throws SqliteError, also if another process has it open.
   explicit SqliteDatabase(const std::string& path);
 
   void execute(const char* sql);
   SqliteStatement prepare(const char* sql) { return {database_.get(), sql}; }
-  // The text of the one value that the query yields.
+  // Returns the first column of the query's first row as text; empty if there is no row.
   std::string queryText(const char* sql);
-  // Calls `write` within a transaction. Where it or the commit throws, nothing of it stays.
+  // Calls `write` within a transaction. If it or the commit throws, rolls back and rethrows.
   template <typename Write>
   void transact(const Write& write) {
     execute("BEGIN IMMEDIATE");
@@ -67,9 +68,10 @@
       throw;
     }
   }
-  // Bytes of the write-ahead log, as of the last transaction.
+  // Size of the write-ahead log in bytes after the last transaction.
   std::size_t writeAheadBytes() const { return *writeAheadPages_ * kPageBytes; }
-  // Writes what is in the write-ahead log to the database file, so that the log begins anew.
+  // Writes the content of the write-ahead log to the database file, so that the log restarts from its
+  // beginning.
   void checkpoint();
 
  private:
@@ -79,7 +81,7 @@
   };
   void rollBack();
 
-  std::unique_ptr<std::size_t> writeAheadPages_;  // at an address that SQLite's callback keeps
+  std::unique_ptr<std::size_t> writeAheadPages_;  // on the heap, since SQLite's callback keeps its address
   std::unique_ptr<sqlite3, Closer> database_;
 };
 
--- a/src/consensus/uv_pump.cpp
+++ b/src/consensus/uv_pump.cpp
@@ -17,7 +17,7 @@
     throw std::runtime_error(std::string("libuv: ") + uv_strerror(failed));
   pollDescriptor_.assign(::dup(uv_backend_fd(&loop_)));
   waitUntilReadable();
-  runSoon();
+  scheduleRun();
 }
 
 UvPump::~UvPump() {
@@ -26,17 +26,17 @@
   uv_loop_close(&loop_);
 }
 
-void UvPump::runSoon() {
+void UvPump::scheduleRun() {
   if (std::exchange(runPosted_, true)) return;
   boost::asio::post(io_, lifetime_.guard([this] { run(); }));
 }
 
-void UvPump::runUntil(const std::function<bool()>& done, std::chrono::milliseconds longest) {
-  const auto end = std::chrono::steady_clock::now() + longest;
+void UvPump::runUntil(const std::function<bool()>& done, std::chrono::milliseconds timeout) {
+  const auto end = std::chrono::steady_clock::now() + timeout;
   while (!done() && std::chrono::steady_clock::now() < end) uv_run(&loop_, UV_RUN_ONCE);
 }
 
-void UvPump::runToEnd() { uv_run(&loop_, UV_RUN_DEFAULT); }
+void UvPump::runUntilClosed() { uv_run(&loop_, UV_RUN_DEFAULT); }
 
 void UvPump::waitUntilReadable() {
   pollDescriptor_.async_wait(boost::asio::posix::stream_descriptor::wait_read,
@@ -47,14 +47,14 @@
                              }));
 }
 
-// What libuv is given in its callbacks is registered with its poll descriptor only when it runs next; without
-// a timer it says so by a time of zero.
+// Handles that are started in libuv's callbacks are registered with its poll descriptor only in the next run.
+// libuv reports this with a timeout of zero, also if it has no timer.
 void UvPump::run() {
   runPosted_ = false;
   uv_run(&loop_, UV_RUN_NOWAIT);
-  const int nextMs = uv_backend_timeout(&loop_);  // negative: it has no timer
+  const int nextMs = uv_backend_timeout(&loop_);  // negative: libuv has no timer
   if (nextMs == 0) {
-    runSoon();
+    scheduleRun();
   } else if (nextMs > 0) {
     timer_.expires_after(std::chrono::milliseconds(nextMs));
     timer_.async_wait(lifetime_.guard([this](error_code ec) {
--- a/src/consensus/uv_pump.hpp
+++ b/src/consensus/uv_pump.hpp
@@ -1,5 +1,5 @@
-// Drives a libuv loop from an Asio event loop, on the same thread: waits on libuv's poll descriptor and for
-// its next timer, and then lets it run without blocking.
+// Runs a libuv loop within an Asio event loop, on the same thread: waits for libuv's poll descriptor and its
+// next timer, and then runs the libuv loop without blocking.
 #pragma once
 
 #include <uv.h>
@@ -16,20 +16,20 @@
 
 class UvPump {
  public:
-  // `afterRun` is called each time that the libuv loop has run, outside of its callbacks. Throws
-  // std::runtime_error.
+  // `afterRun` is called after each run of the libuv loop from the event loop, outside of libuv's callbacks.
+  // Throws std::runtime_error.
   UvPump(boost::asio::io_context& io, std::function<void()> afterRun);
-  ~UvPump();  // every handle of the loop must be closed by then
+  ~UvPump();  // all handles of the libuv loop must be closed before
   UvPump(const UvPump&) = delete;
   UvPump& operator=(const UvPump&) = delete;
 
   uv_loop_t* loop() { return &loop_; }
-  // Something was given to the loop from outside of its callbacks: it is to run soon.
-  void runSoon();
-  // Runs the loop until `done` says so, or for about `longest`; blocks meanwhile.
-  void runUntil(const std::function<bool()>& done, std::chrono::milliseconds longest);
-  // Runs the loop until all its handles are closed; blocks for their callbacks only.
-  void runToEnd();
+  // Schedules a run of the loop. Call this after passing work to the loop from outside of its callbacks.
+  void scheduleRun();
+  // Runs the loop until `done` returns true or about `timeout` has passed; blocks meanwhile.
+  void runUntil(const std::function<bool()>& done, std::chrono::milliseconds timeout);
+  // Runs the loop until all its handles are closed; blocks until their callbacks have run.
+  void runUntilClosed();
 
  private:
   void waitUntilReadable();
@@ -38,8 +38,8 @@
   boost::asio::io_context& io_;
   std::function<void()> afterRun_;
   uv_loop_t loop_{};
-  boost::asio::posix::stream_descriptor pollDescriptor_;  // a duplicate of libuv's
-  boost::asio::steady_timer timer_;                       // until libuv's next timer
+  boost::asio::posix::stream_descriptor pollDescriptor_;  // duplicate of libuv's
+  boost::asio::steady_timer timer_;                       // expires with libuv's next timer
   bool runPosted_ = false;
   CallbackGuard lifetime_;
 };
--- a/src/consensus/write_queue.cpp
+++ b/src/consensus/write_queue.cpp
@@ -43,13 +43,13 @@
   if (failure_) startWork();
 }
 
-// All writes that wait are one transaction. While they fail, reads go on between two attempts.
+// All pending writes form one transaction. While it fails, reads are served between two attempts.
 void WriteQueue::startWork() {
   if (working_ || closing_) return;
   const bool mayWrite = !failure_ || (!failure_->isDamaged && now() >= retryAt_);
   batch_.clear();
   if (mayWrite)
-    for (const Pending& pending : writes_) batch_.push_back(&pending.write);
+    for (const PendingWrite& pending : writes_) batch_.push_back(&pending.write);
   if (batch_.empty() && reads_.empty()) return;
   working_ = true;
   uv_queue_work(
@@ -83,12 +83,12 @@
     retryAt_ = now() + kRetryInterval;
     return;
   }
-  // Taken out first: what is told may push further ones.
+  // Removed from the queue first, because the callbacks may push further writes.
   const auto end = writes_.begin() + static_cast<std::ptrdiff_t>(batch_.size());
-  std::vector<Pending> written(std::make_move_iterator(writes_.begin()), std::make_move_iterator(end));
+  std::vector<PendingWrite> written(std::make_move_iterator(writes_.begin()), std::make_move_iterator(end));
   writes_.erase(writes_.begin(), end);
-  working_ = true;  // so that the next work begins once all have been told
-  for (Pending& each : written) {
+  working_ = true;  // so that the next work starts after all callbacks have run
+  for (PendingWrite& each : written) {
     pendingBytes_ -= each.bytes;
     each.done(true);
   }
@@ -101,17 +101,18 @@
   done(std::exchange(read_, {}));
 }
 
-void WriteQueue::close(std::function<void()> closed) {
-  closed_ = std::move(closed);
+void WriteQueue::close(std::function<void()> done) {
+  closeDone_ = std::move(done);
   closing_ = true;
   if (!working_) finishClose();
 }
 
-// Newest first: handed the oldest one first, the consensus library would remove the entries of the later ones
-// with it, and once more, from below the beginning of its log, for each of them.
+// Cancels the newest write first. If the oldest one were cancelled first, the consensus library would remove
+// the entries of the later writes along with it, and would then, for each later write, remove entries again
+// from below the beginning of its log.
 void WriteQueue::finishClose() {
   while (!writes_.empty()) {
-    const Pending cancelled = std::move(writes_.back());
+    const PendingWrite cancelled = std::move(writes_.back());
     writes_.pop_back();
     cancelled.done(false);
   }
@@ -120,7 +121,7 @@
     reads_.pop_front();
     done({std::nullopt, "closed"});
   }
-  std::exchange(closed_, nullptr)();
+  std::exchange(closeDone_, nullptr)();
 }
 
 }  // namespace cairnjunction::consensus
--- a/tests/consensus/append_entries_guard_test.cpp
+++ b/tests/consensus/append_entries_guard_test.cpp
@@ -1,4 +1,5 @@
-// What a follower makes of messages that append entries: the library's log is laid out by hand.
+// How AppendEntriesGuard changes received append-entries messages and the answers to them, with a raft log
+// that the test sets up directly in the library's structures.
 #include "consensus/append_entries_guard.hpp"
 
 #include <gtest/gtest.h>
@@ -11,8 +12,8 @@
 
 using consensus::AppendEntriesGuard;
 
-// A voter of term 5 with entries 7 to 12, of which 7 to 10 are of term 3, in a ring that has wrapped around;
-// its snapshot stands for the first 8, and 10 are applied.
+// A voter in term 5 with entries 7 to 12, of which 7 to 10 have term 3 and the others term 4, in a ring
+// buffer that has wrapped around. Its snapshot covers entries 1 to 8, and entries 1 to 10 are applied.
 class AppendEntriesGuardTest : public ::testing::Test {
  protected:
   raft voter_{};
@@ -31,7 +32,9 @@
     for (std::size_t i = 0; i < 6; ++i) ring_.at((5 + i) % ring_.size()).term = i < 4 ? 3 : 4;
   }
   void TearDown() override { freeEntries(); }
-  void receive(raft_term term, raft_index previous, unsigned count) {
+  // Sets up a message with `count` entries after the entry `previous`. The term of each entry is its index,
+  // so that a test can tell them apart.
+  void setMessage(raft_term term, raft_index previous, unsigned count) {
     freeEntries();
     message_ = {};
     message_.term = term;
@@ -48,6 +51,7 @@
     raft_free(message_.entries);
     message_.entries = nullptr;
   }
+  // Index of the last entry in the answer, after the guard has limited it.
   raft_index limited(raft_index last, raft_index rejected = 0) const {
     raft_append_entries_result result{};
     result.last_log_index = last;
@@ -58,29 +62,29 @@
   AppendEntriesGuard guard_{voter_};
 };
 
-// Guards against a voter that appends, under wrong numbers, entries that it has dropped behind a snapshot.
-TEST_F(AppendEntriesGuardTest, AppliedEntriesAreTakenOffAMessageFromTheFirstOn) {
-  receive(5, 0, 13);
+// Guards against a voter that appends, under wrong indexes, entries that it has removed after a snapshot.
+TEST_F(AppendEntriesGuardTest, RemovesAppliedEntriesFromAMessageThatStartsAtTheFirstEntry) {
+  setMessage(5, 0, 13);
   guard_.beginReceiving(message_);
   EXPECT_EQ(message_.prev_log_index, 10U);
   EXPECT_EQ(message_.prev_log_term, 3U);
   ASSERT_EQ(message_.n_entries, 3U);
-  EXPECT_EQ(message_.entries[0].term, 11U) << "the eleventh, by its mark";
+  EXPECT_EQ(message_.entries[0].term, 11U) << "entry 11: its term is its index";
   EXPECT_EQ(message_.entries[2].term, 13U);
 }
 
-// The same where nothing of the message is left.
-TEST_F(AppendEntriesGuardTest, AMessageOfAppliedEntriesOnlyBecomesAHeartbeat) {
-  receive(6, 0, 9);
+// All entries of the message are applied already.
+TEST_F(AppendEntriesGuardTest, AMessageWithOnlyAppliedEntriesBecomesAHeartbeat) {
+  setMessage(6, 0, 9);
   guard_.beginReceiving(message_);
   EXPECT_EQ(message_.prev_log_index, 10U);
   EXPECT_EQ(message_.n_entries, 0U);
   EXPECT_EQ(message_.entries, nullptr);
 }
 
-TEST_F(AppendEntriesGuardTest, AMessageBehindTheAppliedEntriesStaysAsItIs) {
+TEST_F(AppendEntriesGuardTest, AMessageAfterTheAppliedEntriesIsUnchanged) {
   for (const raft_index previous : {10U, 11U, 40U}) {
-    receive(5, previous, 2);
+    setMessage(5, previous, 2);
     guard_.beginReceiving(message_);
     EXPECT_EQ(message_.prev_log_index, previous);
     EXPECT_EQ(message_.prev_log_term, 2U);
@@ -88,37 +92,38 @@
   }
 }
 
-// Guards against a leader of an earlier term, whose entries may be others: the library rejects it.
-TEST_F(AppendEntriesGuardTest, AMessageOfAnEarlierTermStaysAsItIs) {
-  receive(4, 0, 13);
+// The entries of a leader of an earlier term may differ from the applied ones. The library rejects its
+// message.
+TEST_F(AppendEntriesGuardTest, AMessageOfAnEarlierTermIsUnchanged) {
+  setMessage(4, 0, 13);
   guard_.beginReceiving(message_);
   EXPECT_EQ(message_.prev_log_index, 0U);
   EXPECT_EQ(message_.n_entries, 13U);
 }
 
-TEST_F(AppendEntriesGuardTest, WhereNothingIsInMemoryTheSnapshotsTermIsTaken) {
+TEST_F(AppendEntriesGuardTest, WithoutEntriesInMemoryThePreviousTermIsTheSnapshotsTerm) {
   voter_.last_applied = 8;
   voter_.log.front = voter_.log.back = 0;
   voter_.log.offset = 8;
-  receive(5, 0, 10);
+  setMessage(5, 0, 10);
   guard_.beginReceiving(message_);
   EXPECT_EQ(message_.prev_log_index, 8U);
   EXPECT_EQ(message_.prev_log_term, 3U);
   EXPECT_EQ(message_.n_entries, 2U);
 }
 
-// Guards against an entry that is committed with one voter alone having it: a heartbeat was answered with the
-// last of the entries of an earlier leader.
-TEST_F(AppendEntriesGuardTest, AnAnswerEndsWithTheLastEntryThatWasCompared) {
-  receive(5, 10, 0);
+// Guards against an entry that is committed although only one voter has it: a heartbeat was answered with the
+// index of the last entry, which came from an earlier leader.
+TEST_F(AppendEntriesGuardTest, AnAnswerIsLimitedToTheLastComparedEntry) {
+  setMessage(5, 10, 0);
   guard_.beginReceiving(message_);
   EXPECT_EQ(limited(12), 10U);
   guard_.endReceiving();
-  receive(5, 10, 1);
+  setMessage(5, 10, 1);
   guard_.beginReceiving(message_);
   EXPECT_EQ(limited(12), 11U);
-  EXPECT_EQ(limited(9), 9U) << "not all of them are written yet";
-  EXPECT_EQ(limited(12, 11), 12U) << "a rejection tells where its log ends";
+  EXPECT_EQ(limited(9), 9U) << "not all entries are written yet";
+  EXPECT_EQ(limited(12, 11), 12U) << "a rejection reports the end of the log";
   guard_.endReceiving();
   EXPECT_EQ(limited(12), 12U) << "after a write";
 }
--- a/tests/consensus/durable_file_test.cpp
+++ b/tests/consensus/durable_file_test.cpp
@@ -1,4 +1,4 @@
-// Files that are replaced whole.
+// Atomic replacement of a file.
 #include "consensus/durable_file.hpp"
 
 #include <gtest/gtest.h>
@@ -24,9 +24,9 @@
   return folder;
 }
 
-// A file is written and then replaced by a shorter one.
-// It has the last text only, and nothing else is left in its folder.
-TEST(DurableFile, IsReplacedWhole) {
+// A file is created and then replaced by a shorter one: it has only the new content, and no other file is
+// left in its folder.
+TEST(DurableFile, ReplacingLeavesOnlyTheNewContent) {
   const std::string folder = emptyFolder("durable-file");
   const std::string path = folder + "/mark";
   EXPECT_FALSE(replaceFile(folder, path, "a longer text\n"));
@@ -36,15 +36,15 @@
   EXPECT_EQ(std::distance(begin(entries), end(entries)), 1);
 }
 
-// Its folder is gone, or what is to be replaced is a folder with something in it.
-// The error says which file, which step and why, and the old content stays.
-TEST(DurableFile, SaysWhichStepFailed) {
+// The folder does not exist, or a non-empty folder is in the place of the file: the error has the path, the
+// step and the reason, and the old content stays.
+TEST(DurableFile, AnErrorHasThePathTheStepAndTheReason) {
   const std::string folder = emptyFolder("durable-file-failing");
-  const std::string gone = folder + "/gone";
-  const auto notOpened = replaceFile(gone, gone + "/mark", "text");
+  const std::string missing = folder + "/missing";
+  const auto notOpened = replaceFile(missing, missing + "/mark", "text");
   ASSERT_TRUE(notOpened);
   EXPECT_EQ(notOpened->error, ENOENT);
-  EXPECT_EQ(textOf(*notOpened), gone + "/mark.next: not opened: No such file or directory");
+  EXPECT_EQ(textOf(*notOpened), missing + "/mark.next: not opened: No such file or directory");
   std::filesystem::create_directories(folder + "/mark/inside");
   const auto notReplaced = replaceFile(folder, folder + "/mark", "text");
   ASSERT_TRUE(notReplaced);
--- a/tests/consensus/faulty_disk.cpp
+++ b/tests/consensus/faulty_disk.cpp
@@ -13,40 +13,40 @@
 namespace cairnjunction::testing {
 namespace {
 
-struct Break {
-  std::string path;  // of a file, or of a folder and all that is in it
+struct ActiveFault {
+  std::string path;  // of a file, or of a folder that contains the files
   bool isFolder;
   DiskFault fault;
   int first;
   int count;
-  int calls = 0;
+  int calls = 0;  // for the files concerned, failed or not
   int failed = 0;
 
-  bool concerns(const std::string& file) const {
+  bool appliesTo(const std::string& file) const {
     return isFolder ? file.starts_with(path + "/") : file == path;
   }
 };
 
 std::mutex mutex;
-std::optional<Break> active;
+std::optional<ActiveFault> active;
 
-// The fault of this call on a file of that path, if it is to fail.
-std::optional<DiskFault> faultOf(const std::string& path) {
+// Counts a call for the file. Returns the fault if the call must fail.
+std::optional<DiskFault> countCall(const std::string& path) {
   const std::lock_guard lock(mutex);
-  if (!active || !active->concerns(path)) return std::nullopt;
+  if (!active || !active->appliesTo(path)) return std::nullopt;
   const int call = active->calls++;
   if (call < active->first || call - active->first >= active->count) return std::nullopt;
   ++active->failed;
   return active->fault;
 }
 
-std::optional<DiskFault> faultOf(int file) {
+std::optional<DiskFault> countCall(int file) {
   {
     const std::lock_guard lock(mutex);
     if (!active) return std::nullopt;
   }
   std::error_code ignored;
-  return faultOf(std::filesystem::read_symlink("/proc/self/fd/" + std::to_string(file), ignored).string());
+  return countCall(std::filesystem::read_symlink("/proc/self/fd/" + std::to_string(file), ignored).string());
 }
 
 int failWith(DiskFault fault) {
@@ -55,7 +55,7 @@
 }
 
 template <typename Function>
-Function realOf(const char* name) {
+Function libcFunction(const char* name) {
   return reinterpret_cast<Function>(::dlsym(RTLD_NEXT, name));
 }
 
@@ -63,12 +63,12 @@
 
 void breakDisk(const std::string& folder, DiskFault fault, int first, int count) {
   const std::lock_guard lock(mutex);
-  active = Break{folder, true, fault, first, count};
+  active = ActiveFault{folder, true, fault, first, count};
 }
 
 void breakFile(const std::string& path, DiskFault fault) {
   const std::lock_guard lock(mutex);
-  active = Break{path, false, fault, 0, kUntilHealed};
+  active = ActiveFault{path, false, fault, 0, kUntilHealed};
 }
 
 void healDisk() {
@@ -83,40 +83,40 @@
 
 }  // namespace cairnjunction::testing
 
+using cairnjunction::testing::countCall;
 using cairnjunction::testing::DiskFault;
 using cairnjunction::testing::failWith;
-using cairnjunction::testing::faultOf;
-using cairnjunction::testing::realOf;
+using cairnjunction::testing::libcFunction;
 
 // NOLINTBEGIN(readability-inconsistent-declaration-parameter-name): the system's names are reserved ones.
 extern "C" int open64(const char* path, int flags, ...) {
-  static const auto real = realOf<int (*)(const char*, int, ...)>("open64");
+  static const auto real = libcFunction<int (*)(const char*, int, ...)>("open64");
   va_list arguments;
   va_start(arguments, flags);
   const mode_t mode = (flags & O_CREAT) != 0 ? va_arg(arguments, mode_t) : 0;
   va_end(arguments);
   if ((flags & O_CREAT) != 0)
-    if (const auto fault = faultOf(std::string(path))) return failWith(*fault);
+    if (const auto fault = countCall(std::string(path))) return failWith(*fault);
   return real(path, flags, mode);
 }
 
 extern "C" ssize_t pwrite64(int file, const void* bytes, std::size_t size, off64_t offset) {
-  static const auto real = realOf<ssize_t (*)(int, const void*, std::size_t, off64_t)>("pwrite64");
-  const auto fault = faultOf(file);
+  static const auto real = libcFunction<ssize_t (*)(int, const void*, std::size_t, off64_t)>("pwrite64");
+  const auto fault = countCall(file);
   if (!fault) return real(file, bytes, size, offset);
   if (*fault == DiskFault::shortWrite && size > 1) return real(file, bytes, size / 2, offset);
   return failWith(*fault);
 }
 
 extern "C" int ftruncate64(int file, off64_t size) noexcept {
-  static const auto real = realOf<int (*)(int, off64_t)>("ftruncate64");
-  if (const auto fault = faultOf(file)) return failWith(*fault);
+  static const auto real = libcFunction<int (*)(int, off64_t)>("ftruncate64");
+  if (const auto fault = countCall(file)) return failWith(*fault);
   return real(file, size);
 }
 
 extern "C" int fdatasync(int file) {
-  static const auto real = realOf<int (*)(int)>("fdatasync");
-  if (const auto fault = faultOf(file)) return failWith(*fault);
+  static const auto real = libcFunction<int (*)(int)>("fdatasync");
+  if (const auto fault = countCall(file)) return failWith(*fault);
   return real(file);
 }
 // NOLINTEND(readability-inconsistent-declaration-parameter-name)
--- a/tests/consensus/faulty_disk.hpp
+++ b/tests/consensus/faulty_disk.hpp
@@ -1,5 +1,5 @@
-// A disk that fails when a test says so: the calls with which SQLite changes a file, replaced for the whole
-// test program, fail for the files of one folder, or for one file.
+// Disk fault injection for tests. The libc functions with which SQLite changes files are replaced for the
+// whole test program. They can be made to fail for the files in one folder, or for one file. Thread-safe.
 #pragma once
 
 #include <limits>
@@ -7,16 +7,20 @@
 
 namespace cairnjunction::testing {
 
+// Errno ENOSPC, errno EIO, or a write of half the bytes (other calls, and writes of one byte, fail with EIO).
 enum class DiskFault { noSpace, ioError, shortWrite };
 
+// As `count` of breakDisk(): all calls fail until healDisk().
 inline constexpr int kUntilHealed = std::numeric_limits<int>::max();
 
-// From the call `first` on, counted from 0 and from now, `count` calls fail.
+// Makes `count` calls for files in the folder fail, starting with the call number `first`, counted from 0 at
+// this call of breakDisk(). Replaces an earlier fault.
 void breakDisk(const std::string& folder, DiskFault fault, int first = 0, int count = kUntilHealed);
-// Every call fails for this file, and no other.
+// Makes every call for this file fail. Replaces an earlier fault.
 void breakFile(const std::string& path, DiskFault fault);
+// Removes the fault; resets failedDiskCalls() to 0.
 void healDisk();
-// Calls that have failed since breakDisk().
+// Number of calls that have failed since breakDisk() or breakFile(); 0 after healDisk().
 int failedDiskCalls();
 
 }  // namespace cairnjunction::testing
--- a/tests/consensus/log_store_test.cpp
+++ b/tests/consensus/log_store_test.cpp
@@ -1,4 +1,4 @@
-// The voter's disk: every write is whole or not there, whichever call of the disk fails, and damage is named.
+// LogStore: whichever disk call fails, a write is applied as a whole or not at all, and damage is reported.
 #include "consensus/log_store.hpp"
 
 #include <gtest/gtest.h>
@@ -30,28 +30,28 @@
 
 namespace {
 
-constexpr std::size_t kCheckpointBytes = 16 << 10;  // so that the writes below come to one
-constexpr int kCallsLeast = 60;                     // of the disk, that all writes make
+constexpr std::size_t kCheckpointBytes = 16 << 10;  // small, so that the writes below cause a checkpoint
+constexpr int kMinDiskCalls = 60;                   // that all writes below make at least
 
 bool sameLog(const StoredLog& one, const StoredLog& other) {
   return one.vote == other.vote && one.snapshot == other.snapshot && one.entries == other.entries;
 }
 
-StoredEntry entryAt(std::uint64_t index, std::uint64_t term) {
+StoredEntry makeEntry(std::uint64_t index, std::uint64_t term) {
   return {index, term, 1, std::string(700, static_cast<char>('a' + index % 26))};
 }
 
 AppendEntries entries(std::uint64_t first, std::uint64_t count, std::uint64_t term) {
   AppendEntries made;
-  for (std::uint64_t i = 0; i < count; ++i) made.entries.push_back(entryAt(first + i, term));
+  for (std::uint64_t i = 0; i < count; ++i) made.entries.push_back(makeEntry(first + i, term));
   return made;
 }
 
-StoredSnapshot snapshotAt(std::uint64_t index, std::uint64_t term) {
+StoredSnapshot makeSnapshot(std::uint64_t index, std::uint64_t term) {
   return {index, term, 1, "voters", std::string(3000, 's')};
 }
 
-// What the writes are to come to.
+// The log that is expected after the writes passed to it.
 struct Model {
   StoredLog log;
   void operator()(const SaveVote& write) { log.vote = write.vote; }
@@ -67,15 +67,16 @@
   }
 };
 
-// A bootstrap, votes, appends, a removal of conflicting entries, an own snapshot, and a leader's.
+// A bootstrap, votes, appends, a removal of conflicting entries, the voter's own snapshot, and a leader's.
+// Each inner list is one transaction.
 std::vector<std::vector<LogWrite>> voterWrites() {
   return {{SaveVote{{1, 0}}, entries(1, 1, 1)},
           {SaveVote{{2, 1}}},
           {entries(2, 8, 2), entries(10, 4, 2)},
           {RemoveEntries{11}, entries(11, 2, 3)},
-          {SaveSnapshot{snapshotAt(10, 2), 7}},
+          {SaveSnapshot{makeSnapshot(10, 2), 7}},
           {entries(13, 8, 3)},
-          {SaveSnapshot{snapshotAt(40, 4), SaveSnapshot::kKeepNone}},
+          {SaveSnapshot{makeSnapshot(40, 4), SaveSnapshot::kKeepNone}},
           {entries(41, 8, 4), SaveVote{{5, 2}}}};
 }
 
@@ -101,7 +102,7 @@
   }
   std::string databasePath() const { return folder_ + "/raft.db"; }
   StoredLog reloaded() const { return LogStore(folder_, kCheckpointBytes).load(); }
-  // All writes, without a fault.
+  // Applies all writes without a fault; returns the expected log.
   StoredLog writeAll() const {
     LogStore store(folder_, kCheckpointBytes);
     Model model;
@@ -111,14 +112,14 @@
     }
     return model.log;
   }
-  void playUntilItFails(Model& before, Model& after) const;
-  std::optional<LogStore> openInTwoAttempts(int count) const;
-  static void writeInThreeAttempts(LogStore& store, const std::vector<LogWrite>& batch, int count);
-  void playAndTryAgain(int count, int& failedCalls) const;
+  void writeUntilFailure(Model& before, Model& after) const;
+  std::optional<LogStore> openWithRetry(int count) const;
+  static void writeWithRetries(LogStore& store, const std::vector<LogWrite>& batch, int count);
+  void writeAllWithRetries(int count, int& failedCalls) const;
 };
 
-// Up to the first write that fails: `before` and `after` it.
-void LogStoreTest::playUntilItFails(Model& before, Model& after) const {
+// Applies the writes up to the first one that fails. Sets the expected logs without and with that write.
+void LogStoreTest::writeUntilFailure(Model& before, Model& after) const {
   try {
     LogStore store(folder_, kCheckpointBytes);
     for (const auto& batch : voterWrites()) {
@@ -128,11 +129,11 @@
     }
     before = after;
   } catch (const LogError&) {
-    EXPECT_TRUE(after.log.isNew()) << "only its opening throws";
+    EXPECT_TRUE(after.log.isNew()) << "only the constructor may throw";
   }
 }
 
-std::optional<LogStore> LogStoreTest::openInTwoAttempts(int count) const {
+std::optional<LogStore> LogStoreTest::openWithRetry(int count) const {
   std::optional<LogStore> store;
   try {
     store.emplace(folder_, kCheckpointBytes);
@@ -144,7 +145,7 @@
   return store;
 }
 
-void LogStoreTest::writeInThreeAttempts(LogStore& store, const std::vector<LogWrite>& batch, int count) {
+void LogStoreTest::writeWithRetries(LogStore& store, const std::vector<LogWrite>& batch, int count) {
   for (int attempt = 0; const auto error = store.write(pointersTo(batch)); ++attempt) {
     EXPECT_FALSE(error->isDamaged) << error->text;
     ASSERT_LT(attempt, 2) << error->text;
@@ -152,43 +153,44 @@
   }
 }
 
-// `count`: calls that fail each time that the disk is broken; it is healed between an attempt and the next.
-void LogStoreTest::playAndTryAgain(int count, int& failedCalls) const {
-  std::optional<LogStore> store = openInTwoAttempts(count);
+// Applies all writes to a disk that is broken, with retries. `count`: number of calls that fail; with
+// kUntilHealed, the disk is healed after a failed attempt.
+void LogStoreTest::writeAllWithRetries(int count, int& failedCalls) const {
+  std::optional<LogStore> store = openWithRetry(count);
   Model model;
   for (const auto& batch : voterWrites()) {
     for (const LogWrite& write : batch) std::visit(model, write);
-    writeInThreeAttempts(*store, batch, count);
+    writeWithRetries(*store, batch, count);
     EXPECT_TRUE(sameLog(store->load(), model.log));
   }
-  store.reset();  // writes to its files as well
+  store.reset();  // closing the database writes to its files as well
   failedCalls = failedDiskCalls();
   healDisk();
   EXPECT_TRUE(sameLog(reloaded(), model.log));
 }
 
-// Guards against a voter that ends by a disk that fails for a moment, or loses what it then writes again.
-TEST_P(LogStoreTest, AWriteIsTriedAgainAfterAFaultAtEachCall) {
+// Guards against a voter that ends when its disk fails briefly, or that loses the writes that it retries.
+TEST_P(LogStoreTest, ARetriedWriteSucceedsAfterAFaultAtAnyDiskCall) {
   for (const int count : {1, kUntilHealed}) {
     for (int call = 0;; ++call) {
       makeFolder();
       breakDisk(folder_, GetParam(), call, count);
       int failedCalls = 0;
-      playAndTryAgain(count, failedCalls);
+      writeAllWithRetries(count, failedCalls);
       ASSERT_FALSE(HasFailure()) << "call " << call;
-      if (call >= kCallsLeast && failedCalls == 0) break;
+      if (call >= kMinDiskCalls && failedCalls == 0) break;
     }
   }
 }
 
-// Guards against entries behind a snapshot that is not there, and against acknowledged ones that are gone,
-// where the process ends with its disk.
-TEST_P(LogStoreTest, AfterAFaultAtEachCallAndACrashAWriteIsThereWholeOrNot) {
+// Guards against entries that follow a missing snapshot, and against the loss of acknowledged entries, if the
+// process ends when its disk fails.
+TEST_P(LogStoreTest, AfterAFaultAtAnyDiskCallAndACrashAWriteIsCompleteOrAbsent) {
   for (int call = 0;; ++call) {
     makeFolder();
     breakDisk(folder_, GetParam(), call);
     Model before, after;
-    playUntilItFails(before, after);
+    writeUntilFailure(before, after);
     const int failed = failedDiskCalls();
     healDisk();
     const StoredLog found = reloaded();
@@ -202,13 +204,13 @@
 
 using LogStoreFileTest = LogStoreTest;
 
-// Guards against a voter that votes with a log from which bytes are missing or changed.
-TEST_F(LogStoreFileTest, ADamagedFileIsNamedOrReadsAsItWas) {
+// Guards against a voter that votes with a log in which bytes were changed.
+TEST_F(LogStoreFileTest, ADamagedFileIsReportedOrReadUnchanged) {
   const StoredLog whole = writeAll();
   std::ostringstream text;
   text << std::ifstream(databasePath(), std::ios::binary).rdbuf();
   const std::string bytes = text.str();
-  int named = 0;
+  int reported = 0;
   for (std::size_t at = 0; at < bytes.size(); at += 61) {
     std::string damaged = bytes;
     damaged[at] = static_cast<char>(~damaged[at]);
@@ -216,34 +218,34 @@
     try {
       ASSERT_TRUE(sameLog(reloaded(), whole)) << "byte " << at;
     } catch (const LogError& error) {
-      ++named;
+      ++reported;
       ASSERT_NE(std::string(error.what()).find(databasePath()), std::string::npos) << error.what();
     }
   }
-  EXPECT_GT(named, 100);
+  EXPECT_GT(reported, 100);
 }
 
-// Guards against a file cut off at its end.
-TEST_F(LogStoreFileTest, AFileThatIsCutOffIsNamed) {
+// Guards against a voter that votes with a truncated log.
+TEST_F(LogStoreFileTest, ATruncatedFileIsReported) {
   writeAll();
   files::resize_file(databasePath(), files::file_size(databasePath()) / 2);
   EXPECT_THROW(reloaded(), LogError);
 }
 
-// Guards against two processes that vote with one log.
-TEST_F(LogStoreFileTest, ASecondProcessCannotHaveIt) {
+// Guards against two processes that vote with the same log.
+TEST_F(LogStoreFileTest, ASecondOpenOfTheSameLogFails) {
   const LogStore first(folder_, kCheckpointBytes);
   EXPECT_THROW(LogStore(folder_, kCheckpointBytes), LogError);
 }
 
-// Guards against a log that grows for as long as it is written.
-TEST_F(LogStoreFileTest, FilesStayBoundedOverManySnapshots) {
+// Guards against files that grow without bound as entries are written.
+TEST_F(LogStoreFileTest, FileSizesStayBoundedOverManySnapshots) {
   LogStore store(folder_, kCheckpointBytes);
   const LogWrite vote = SaveVote{{1, 0}};
   ASSERT_FALSE(store.write({&vote}));
   for (std::uint64_t first = 1; first < 4000; first += 16) {
     const LogWrite appended = entries(first, 16, 1);
-    const LogWrite snapshot = SaveSnapshot{snapshotAt(first + 15, 1), first + 8};
+    const LogWrite snapshot = SaveSnapshot{makeSnapshot(first + 15, 1), first + 8};
     ASSERT_FALSE(store.write({&appended}));
     ASSERT_FALSE(store.write({&snapshot}));
   }
@@ -252,7 +254,7 @@
   EXPECT_LT(total, 40 * kCheckpointBytes);
 }
 
-// Guards against a write-ahead log that grows without a bound where it can't be written to the database file.
+// Guards against a write-ahead log that grows without bound while it can't be written to the database file.
 TEST_F(LogStoreFileTest, WritesFailOnceTheWriteAheadLogIsAtItsBound) {
   LogStore store(folder_, kCheckpointBytes);
   const LogWrite vote = SaveVote{{1, 0}};
@@ -273,9 +275,9 @@
   EXPECT_EQ(store.load().entries.size(), written + 1);
 }
 
-// Guards against an import of an earlier version's log that a full disk cut short, and that is then taken for
-// the whole.
-TEST_P(LogStoreTest, AnImportIsWholeOrNotThere) {
+// Guards against a partial import of an earlier version's log, after a full disk, that is later treated as
+// complete.
+TEST_P(LogStoreTest, AnImportIsCompleteOrAbsent) {
   const StoredLog former = writeAll();
   for (int call = 0;; ++call) {
     makeFolder();
--- a/tests/consensus/raft_buffer_test.cpp
+++ b/tests/consensus/raft_buffer_test.cpp
@@ -1,4 +1,4 @@
-// Bytes in the library's buffers.
+// Encoding and decoding of the library's buffers.
 #include "consensus/raft_buffer.hpp"
 
 #include <gtest/gtest.h>
@@ -10,9 +10,9 @@
 namespace cairnjunction::consensus {
 namespace {
 
-// Entries of all lengths around a multiple of eight are proposed.
-// Each buffer has a multiple of eight bytes, and the entry comes out of it as it went in.
-TEST(RaftBuffer, IsPaddedAndGivesItsBytesBack) {
+// For entries of 0 to 33 bytes, each buffer's length is a multiple of eight, and the entry is decoded
+// unchanged.
+TEST(RaftBuffer, IsPaddedAndDecodedUnchanged) {
   for (std::size_t length = 0; length <= 33; ++length) {
     const std::string bytes(length, '\x7f');
     const raft_buffer buffer = toRaftBuffer(bytes);
@@ -23,9 +23,9 @@
   }
 }
 
-// The log has an entry that is too short for a length, or whose length is past its end.
-// It comes out empty, and nothing behind the buffer is read.
-TEST(RaftBuffer, WhatItDidNotMakeComesOutEmpty) {
+// A buffer is too short for the length field, or its length field is greater than the rest of the buffer: it
+// is decoded as empty, and nothing past its end is read.
+TEST(RaftBuffer, ABufferWithAnInvalidLengthIsDecodedAsEmpty) {
   std::array<char, 16> bytes{};
   EXPECT_EQ(fromRaftBuffer({bytes.data(), 7}), "");
   const std::uint64_t tooLong = 9;
--- a/tests/consensus/raft_log_test.cpp
+++ b/tests/consensus/raft_log_test.cpp
@@ -1,5 +1,5 @@
-// The replicated log on C raft: three voters in one process, on one event loop, stopped and started again at
-// many moments. A fault here ends the whole test program, as it ends a coordinator.
+// RaftLog: three voters in one process and on one event loop, which are stopped and restarted at many points.
+// A crash in the consensus library ends the whole test program, as it would end a coordinator.
 #include "consensus/raft_log.hpp"
 
 #include <sys/resource.h>
@@ -27,7 +27,7 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-// Keeps what it applied, in order.
+// Records the entries that it applied, as a set.
 class RecordingMachine final : public consensus::StateMachine {
  public:
   void apply(std::string_view entry) override { entries.emplace(entry); }
@@ -48,7 +48,7 @@
 struct Voter {
   RecordingMachine machine;
   std::unique_ptr<RaftLog> log;
-  bool stopped = false;  // stop() has called back
+  bool stopped = false;  // the callback of stop() was called
 };
 
 class RaftLogTest : public LoopTest {
@@ -59,12 +59,12 @@
   std::map<int, Voter> voters_;  // by number
   std::set<std::string> committed_;
   int proposed_ = 0;
-  int open_ = 0;  // proposals that have not come back
+  int pendingProposals_ = 0;  // proposals whose callback has not been called
   std::mt19937_64 random_;
   unsigned snapshotTrailing_ = RaftOptions{}.snapshotTrailing;
 
   void SetUp() override {
-    std::signal(SIGPIPE, SIG_IGN);  // as the coordinator does: a closed peer shows as a write error
+    std::signal(SIGPIPE, SIG_IGN);  // as in the coordinator: a write to a closed connection returns an error
     for (int i = 0; i < kVoters; ++i) ports_.push_back(std::make_unique<ReservedPort>(io));
   }
   void TearDown() override {
@@ -106,18 +106,18 @@
     return nullptr;
   }
   void propose(int count) {
-    Voter* const leading = leader();
-    if (!leading) return;
+    Voter* const leaderVoter = leader();
+    if (!leaderVoter) return;
     for (int i = 0; i < count; ++i) {
       const std::string entry = "entry-" + std::to_string(++proposed_);
-      ++open_;
-      leading->log->propose(entry, [this, entry](bool done) {
-        --open_;
+      ++pendingProposals_;
+      leaderVoter->log->propose(entry, [this, entry](bool done) {
+        --pendingProposals_;
         if (done) committed_.insert(entry);
       });
     }
   }
-  int draw(int least, int most) { return std::uniform_int_distribution<int>(least, most)(random_); }
+  int draw(int min, int max) { return std::uniform_int_distribution<int>(min, max)(random_); }
   void runFor(milliseconds time) {
     const auto end = steady_clock::now() + time;
     while (steady_clock::now() < end) {
@@ -136,27 +136,31 @@
       if (voter.log && voter.log->isLeader()) return number;
     return 0;
   }
-  void turns(int count) {  // of the event loop
+  // Runs up to `count` handlers of the event loop, waiting up to 1 ms for each.
+  void runTurns(int count) {
     for (int i = 0; i < count; ++i) {
       io.restart();
       io.run_one_for(milliseconds(1));
     }
   }
   void destroy(int number) { voters_[number].log.reset(); }
-  // Writes entries that a majority has.
+  // Commits `count` further entries.
   void commit(int count) {
     const std::size_t wanted = committed_.size() + static_cast<std::size_t>(count);
     ASSERT_TRUE(until([&] {
-      if (open_ == 0 && committed_.size() < wanted) propose(static_cast<int>(wanted - committed_.size()));
+      if (pendingProposals_ == 0 && committed_.size() < wanted)
+        propose(static_cast<int>(wanted - committed_.size()));
       return committed_.size() >= wanted;
     }));
   }
+  // Expects that the leader has applied all committed entries.
   void expectNothingLost() {
     ASSERT_TRUE(until([&] { return leader() != nullptr; }));
     for (const std::string& entry : committed_)
       EXPECT_TRUE(leader()->machine.entries.contains(entry)) << entry;
   }
-  void playDrawnMoments() {
+  // Stops or destroys random voters at random times, with proposals before and after, and restarts them.
+  void stopAndRestartAtRandomTimes() {
     random_.seed(static_cast<std::uint64_t>(numberFrom("RAFT_LOG_SEED", 1)));
     const int rounds = numberFrom("RAFT_LOG_ROUNDS", 20);
     for (int round = 0; round < rounds; ++round) {
@@ -179,25 +183,25 @@
     }
     expectNothingLost();
   }
-  // How often the drawn rounds are played, and from which seed: for longer runs by hand.
-  static int numberFrom(const char* variable, int usual) {
-    const char* asked = std::getenv(variable);
-    return asked ? std::atoi(asked) : usual;
+  // The number of rounds and the seed can be set by environment variables, for longer manual runs.
+  static int numberFrom(const char* variable, int defaultValue) {
+    const char* value = std::getenv(variable);
+    return value ? std::atoi(value) : defaultValue;
   }
 };
 
-// Guards against the crash of a coordinator in SIGTERM: a leader closed its log with writes waiting for the
-// disk.
-TEST_F(RaftLogTest, ALeaderWithWritesWaitingEndsAtAnyStep) {
+// Guards against a coordinator that crashes on SIGTERM: a leader closed its log while writes were waiting for
+// the disk.
+TEST_F(RaftLogTest, ALeaderWithPendingWritesClosesAtAnyStep) {
   startAll();
   for (int step = 0; step < 24; ++step) {
     ASSERT_TRUE(until([&] { return leader() != nullptr; }));
     const int number = leaderNumber();
     for (int i = 0; i < 8; ++i) {
       propose(1);
-      if (i % 2 == 1) turns(step / 4);
+      if (i % 2 == 1) runTurns(step / 4);
     }
-    turns(step % 4);
+    runTurns(step % 4);
     if (step % 2 == 0) destroy(number);
     else stop(number);
     start(number);
@@ -205,8 +209,8 @@
   expectNothingLost();
 }
 
-// Guards against the same crash where there is nobody to take leadership over.
-TEST_F(RaftLogTest, ALeaderThatIsLeftAloneEndsWithItsEntriesUncommitted) {
+// Guards against the same crash when no other voter can become leader.
+TEST_F(RaftLogTest, ALeaderWithoutFollowersClosesWithUncommittedEntries) {
   for (int step = 0; step < 8; ++step) {
     startAll();
     ASSERT_TRUE(until([&] { return leader() != nullptr; }));
@@ -214,7 +218,7 @@
     for (int other = 1; other <= kVoters; ++other)
       if (other != number) destroy(other);
     propose(8);
-    turns(step);
+    runTurns(step);
     propose(8);
     if (step % 2 == 0) destroy(number);
     else stop(number);
@@ -222,22 +226,22 @@
   }
 }
 
-// Guards against a crash in SIGTERM: a follower closed its log while conflicting entries were being removed.
-TEST_F(RaftLogTest, AFollowerThatRemovesConflictingEntriesEndsAtAnyStep) {
+// Guards against a crash on SIGTERM: a follower closed its log while conflicting entries were being removed.
+TEST_F(RaftLogTest, AFollowerThatRemovesConflictingEntriesClosesAtAnyStep) {
   for (int step = 0; step < 16; ++step) {
     startAll();
     ASSERT_TRUE(until([&] { return leader() != nullptr; }));
     const int former = leaderNumber();
     for (int other = 1; other <= kVoters; ++other)
       if (other != former) destroy(other);
-    propose(6);  // which nobody else has
-    turns(20);
+    propose(6);  // which no other voter has
+    runTurns(20);
     destroy(former);
     for (int other = 1; other <= kVoters; ++other)
       if (other != former) start(other);
     commit(2);
     start(former);
-    turns(3 * step);
+    runTurns(3 * step);
     if (step % 2 == 0) destroy(former);
     else stop(former);
     start(former);
@@ -246,16 +250,16 @@
   }
 }
 
-// Guards against a crash in SIGTERM: a follower closed its log while a leader's snapshot was being installed.
-TEST_F(RaftLogTest, AFollowerThatInstallsASnapshotEndsAtAnyStep) {
+// Guards against a crash on SIGTERM: a follower closed its log while a leader's snapshot was being installed.
+TEST_F(RaftLogTest, AFollowerThatInstallsASnapshotClosesAtAnyStep) {
   startAll();
   for (int step = 0; step < 24; ++step) {
     ASSERT_TRUE(until([&] { return leader() != nullptr; }));
     const int follower = leaderNumber() % kVoters + 1;
     destroy(follower);
-    commit(static_cast<int>(snapshotTrailing_) + 40);  // more than are kept behind a snapshot
+    commit(static_cast<int>(snapshotTrailing_) + 40);  // more than are kept with a snapshot
     start(follower);
-    turns(step);
+    runTurns(step);
     if (step % 2 == 0) destroy(follower);
     else stop(follower);
     start(follower);
@@ -263,18 +267,19 @@
   expectNothingLost();
 }
 
-// Guards against a voter that ends badly for what strangers, or peers that died, left half said on its links.
-TEST_F(RaftLogTest, AVoterWithHalfAMessageOnALinkEnds) {
+// Guards against a voter that crashes on close after an unknown client, or a peer that crashed, has sent it
+// an incomplete message.
+TEST_F(RaftLogTest, AVoterClosesWithAnIncompleteMessageOnAConnection) {
   startAll();
   for (int step = 0; step < 12; ++step) {
     ASSERT_TRUE(until([&] { return leader() != nullptr; }));
     const int number = step % kVoters + 1;
-    tcp::socket stranger(io);
-    stranger.connect(ports_[number - 1]->endpoint);
-    const std::string whole("\1\0\0\0\0\0\0\0\x10\0\0\0\0\0\0\0", 16);
-    asio::write(stranger, asio::buffer(whole.data(), static_cast<std::size_t>(step) + 1));
-    if (step % 3 == 0) stranger.close();
-    turns(step);
+    tcp::socket client(io);
+    client.connect(ports_[number - 1]->endpoint);
+    const std::string handshake("\1\0\0\0\0\0\0\0\x10\0\0\0\0\0\0\0", 16);
+    asio::write(client, asio::buffer(handshake.data(), static_cast<std::size_t>(step) + 1));
+    if (step % 3 == 0) client.close();
+    runTurns(step);
     propose(3);
     if (step % 2 == 0) destroy(number);
     else stop(number);
@@ -283,24 +288,24 @@
   expectNothingLost();
 }
 
-// Guards against crashes while a voter runs: its disk is full, so several writes fail, and then it sends a
+// Guards against crashes of a running voter: its disk is full, several writes fail, and then it sends a
 // snapshot.
-TEST_F(RaftLogTest, ADiskThatIsFullForAWhileEndsNobody) {
+TEST_F(RaftLogTest, NoVoterEndsWhenTheDiskIsFullTemporarily) {
   std::signal(SIGXFSZ, SIG_IGN);
   rlimit limit{};
   ASSERT_EQ(::getrlimit(RLIMIT_FSIZE, &limit), 0);
-  const rlimit whole = limit;
+  const rlimit original = limit;
   for (int step = 0; step < 6; ++step) {
     startAll();
     ASSERT_TRUE(until([&] { return leader() != nullptr; }));
     commit(2);
     propose(8);
-    turns(step);
+    runTurns(step);
     limit.rlim_cur = 1;
     ASSERT_EQ(::setrlimit(RLIMIT_FSIZE, &limit), 0);
     for (int i = 0; i < 8; ++i) propose(4);
     runFor(milliseconds(40));
-    ASSERT_EQ(::setrlimit(RLIMIT_FSIZE, &whole), 0);
+    ASSERT_EQ(::setrlimit(RLIMIT_FSIZE, &original), 0);
     voters_.clear();
     startAll();
     expectNothingLost();
@@ -308,8 +313,8 @@
   }
 }
 
-// Guards against a start that fails and takes the process along: the port is in use, the folder_ is missing.
-TEST_F(RaftLogTest, AStartThatFailsSaysWhyAndNothingElse) {
+// Guards against a failed start that ends the process: the port is in use, or the folder is missing.
+TEST_F(RaftLogTest, AFailedStartThrowsLogError) {
   std::filesystem::create_directories(folder_ + "1");
   tcp::acceptor taken(io, ports_[0]->endpoint);
   RecordingMachine machine;
@@ -317,25 +322,25 @@
   EXPECT_THROW(RaftLog(io, optionsOf(2), machine), consensus::LogError);
 }
 
-// Guards against a stop asked for twice, and one before the event loop's first turn.
-TEST_F(RaftLogTest, ASecondStopDoesNothingAndTheFirstMayComeAtOnce) {
+// Guards against faults with two calls of stop(), and with one before the event loop first runs.
+TEST_F(RaftLogTest, StopWorksBeforeTheEventLoopRunsAndASecondStopDoesNothing) {
   start(1);
   int ended = 0;
   voters_[1].log->stop([&] { ++ended; });
   voters_[1].log->stop([&] { ended += 10; });
   ASSERT_TRUE(until([&] { return ended > 0; }));
-  turns(5);
+  runTurns(5);
   EXPECT_EQ(ended, 1);
 }
 
-// Guards against all of these at moments that nobody thought of.
-TEST_F(RaftLogTest, AVoterStoppedAtDrawnMomentsEndsAndLosesNothing) { playDrawnMoments(); }
+// Guards against the faults above at points that the other tests do not cover.
+TEST_F(RaftLogTest, AVoterStoppedAtRandomTimesClosesWithoutLoss) { stopAndRestartAtRandomTimes(); }
 
-// Guards against a voter that crashes, or can't go on, for what it is sent behind a snapshot that it was
-// sent.
-TEST_F(RaftLogTest, AVoterFarBehindEndsAndLosesNothing) {
+// Guards against a voter that crashes, or can't continue, because of the messages that it receives after a
+// leader's snapshot.
+TEST_F(RaftLogTest, AVoterFarBehindClosesWithoutLoss) {
   snapshotTrailing_ = 4;
-  playDrawnMoments();
+  stopAndRestartAtRandomTimes();
 }
 
 }  // namespace
--- a/tests/consensus/voter_identity_test.cpp
+++ b/tests/consensus/voter_identity_test.cpp
@@ -1,4 +1,4 @@
-// Which voters are taken for who they were.
+// Which voters are accepted by their disk, and on which folders a voter may start.
 #include "consensus/voter_identity.hpp"
 
 #include <gtest/gtest.h>
@@ -26,14 +26,14 @@
   return "";
 }
 
-// Another voter comes with the disk that it had, with an older copy of it, and with a new one.
-// Only the first may vote, and the rejection says what was found and what was expected.
-TEST(VoterIdentity, APeerMustComeWithTheDiskThatItHad) {
+// A peer presents the same disk, an older copy of it, and a different one. It is accepted with the first
+// only, and the rejection has what was found and what was expected.
+TEST(VoterIdentity, APeerIsAcceptedOnlyWithTheSameDisk) {
   const std::string folder = emptyFolder("voter-peers");
   VoterIdentity identity(folder, "yard", 1);
   EXPECT_TRUE(identity.checkPeer(2, {22, 3}).accepted()) << "seen for the first time";
-  EXPECT_TRUE(identity.checkPeer(2, {22, 3}).accepted()) << "as it was seen";
-  EXPECT_TRUE(identity.checkPeer(2, {22, 5}).accepted()) << "started anew since";
+  EXPECT_TRUE(identity.checkPeer(2, {22, 3}).accepted()) << "unchanged";
+  EXPECT_TRUE(identity.checkPeer(2, {22, 5}).accepted()) << "restarted since";
   const VoterCheck older = identity.checkPeer(2, {22, 4});
   EXPECT_EQ(older.result, VoterCheckResult::olderDisk);
   EXPECT_EQ(older.expected, (VoterMark{22, 5}));
@@ -44,26 +44,26 @@
   EXPECT_EQ(other.found, (VoterMark{23, 9}));
   EXPECT_EQ(rejectionText(other),
             "keeper 2 comes with another disk than it had: give the new one a number of its own");
-  EXPECT_EQ(rejectionText(identity.checkPeer(2, {22, 5})), "") << "a rejected mark is not remembered";
+  EXPECT_EQ(rejectionText(identity.checkPeer(2, {22, 5})), "") << "a rejected mark is not stored";
 }
 
-// Guards against a voter that takes another one's mark for kept where its disk was full: it would not know an
-// older disk of that one later.
-TEST(VoterIdentity, AMarkThatCannotBeWrittenIsNotKept) {
+// Guards against a voter that accepts a peer's mark which it could not write because its disk was full. After
+// a restart it would not recognize an older copy of the peer's disk.
+TEST(VoterIdentity, AMarkThatCannotBeWrittenIsNotAccepted) {
   const std::string folder = emptyFolder("voter-unwritten");
   VoterIdentity identity(folder, "yard", 1);
   const std::string next = folder + "/identity.toml.next";
-  std::filesystem::create_directory(next);  // in the way of the file that is written first
+  std::filesystem::create_directory(next);  // blocks the file that is written first
   EXPECT_THROW(identity.checkPeer(2, {22, 3}), LogError);
-  EXPECT_THROW(identity.checkPeer(2, {22, 3}), LogError) << "it is not known meanwhile";
+  EXPECT_THROW(identity.checkPeer(2, {22, 3}), LogError) << "the failed call must not have cached the mark";
   std::filesystem::remove(next);
   EXPECT_EQ(identity.checkPeer(2, {22, 3}).result, VoterCheckResult::accepted);
   EXPECT_EQ(identity.checkPeer(2, {22, 2}).result, VoterCheckResult::olderDisk);
 }
 
-// A voter starts again on its folder.
-// It is the same one, a start later, and remembers what it has seen of the others.
-TEST(VoterIdentity, IsKeptOverAStart) {
+// After a restart on its folder, a voter has the same incarnation and a start count greater by 1, and still
+// has the marks of its peers.
+TEST(VoterIdentity, IsPreservedAcrossARestart) {
   const std::string folder = emptyFolder("voter-start");
   VoterMark first;
   {
@@ -78,21 +78,21 @@
   EXPECT_EQ(identity.checkPeer(2, {22, 2}).result, VoterCheckResult::olderDisk);
 }
 
-// A voter is started on a folder of another fleet or number, on one that is gone, on one whose identity is
-// damaged, and on one whose identity was removed. It does not start, and says what it found and what it
-// expected.
-TEST(VoterIdentity, AFolderThatIsNotItsOwnIsRejected) {
+// A voter is started on a folder of another fleet or of another voter, on a missing one, on one whose
+// identity file is damaged, and on one whose identity file was removed. It does not start, and the error says
+// why.
+TEST(VoterIdentity, AFolderThatIsNotThisVotersIsRejected) {
   const std::string folder = emptyFolder("voter-folder");
   const std::string path = folder + "/identity.toml";
   EXPECT_EQ(errorOf(folder, "yard", 1), "");
   EXPECT_EQ(errorOf(folder, "other", 1), path + ": of the fleet 'yard', not of 'other'");
   EXPECT_EQ(errorOf(folder, "yard", 2), path + ": of keeper 1, not of keeper 2");
-  EXPECT_EQ(errorOf(folder + "/gone", "yard", 1), folder + "/gone: no folder");
+  EXPECT_EQ(errorOf(folder + "/missing", "yard", 1), folder + "/missing: not an existing folder");
   std::ofstream(path) << "fleet = \"yard\"\nnumber = 1\nincarnation = -4\nstarts = 1\n";
-  EXPECT_EQ(errorOf(folder, "yard", 1), path + ": 'incarnation' is no number");
+  EXPECT_EQ(errorOf(folder, "yard", 1), path + ": 'incarnation' is not a non-negative integer");
   std::filesystem::rename(path, folder + "/removed.toml");
   EXPECT_EQ(errorOf(folder, "yard", 1),
-            path + ": missing, though the folder is not empty: its log may not be voted with");
+            path + ": missing, though the folder is not empty: this voter must not vote with its log");
 }
 
 }  // namespace
--- a/tests/consensus/voter_processes_test.cpp
+++ b/tests/consensus/voter_processes_test.cpp
@@ -1,5 +1,5 @@
-// Three voters as processes: killed at drawn moments, with a disk that fails while they run, and far behind.
-// What was committed is there in the end, and none ends unless it is told to.
+// Three voters, each in its own process, that are killed at random times, have a failing disk, or are far
+// behind. No committed entry may be lost, and no voter may end unless the test stops it.
 #include <spawn.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -32,17 +32,19 @@
 
 namespace {
 
-std::string voterProgram;  // its path; set once, by main
+std::string voterProgram;  // path of consensus_voter_program; set once, by main
 
 constexpr int kVoters = 3;
-constexpr std::chrono::seconds kCatchUpMost{10};
+// For all voters to apply all committed entries.
+constexpr std::chrono::seconds kMaxCatchUpTime{10};
 
+// In entries, as in RaftOptions.
 struct SnapshotSettings {
   unsigned threshold = 16;
   unsigned trailing = 4;
 };
 
-// One process; `onLine` is given each line that it says.
+// A process of voter_program.cpp. `onLine` is called with each line of its output.
 class VoterProcess {
  public:
   VoterProcess(asio::io_context& io, const std::vector<std::string>& arguments,
@@ -65,30 +67,32 @@
     output_.assign(fromVoter[0]);
     readLine();
   }
-  ~VoterProcess() { end(SIGKILL); }
+  ~VoterProcess() { signalAndWait(SIGKILL); }
   VoterProcess(const VoterProcess&) = delete;
   VoterProcess& operator=(const VoterProcess&) = delete;
 
-  void tell(const std::string& line) {
+  // Sends a command; see voter_program.cpp.
+  void send(const std::string& line) {
     error_code ignored;
     asio::write(input_, asio::buffer(line + "\n"), ignored);
   }
-  // 0: it ended well; -SIGNAL: by a signal.
-  int end(int signal) {
+  // Sends the signal and blocks until the process has ended. Returns its exit code, or -SIGNAL if a signal
+  // ended it; 0 if it was ended before.
+  int signalAndWait(int signal) {
     if (pid_ <= 0) return 0;
     ::kill(pid_, signal);
     int status = 0;
     ::waitpid(std::exchange(pid_, 0), &status, 0);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
   }
-  bool isOver() const { return over_; }  // all that it said was read
+  bool isOutputClosed() const { return outputClosed_; }  // all output was read
 
  private:
   void readLine() {
     asio::async_read_until(output_, asio::dynamic_buffer(buffer_), '\n',
                            [this](error_code ec, std::size_t size) {
                              if (ec) {
-                               over_ = true;
+                               outputClosed_ = true;
                                return;
                              }
                              const std::string line = buffer_.substr(0, size - 1);
@@ -102,7 +106,7 @@
   std::function<void(const std::string&)> onLine_;
   asio::posix::stream_descriptor input_, output_;
   std::string buffer_;
-  bool over_ = false;
+  bool outputClosed_ = false;
 };
 
 class VoterProcessesTest : public LoopTest {
@@ -111,9 +115,9 @@
   SnapshotSettings snapshots_;
   std::vector<std::unique_ptr<ReservedPort>> ports_;
   std::map<int, std::unique_ptr<VoterProcess>> voters_;  // by number
-  std::map<int, std::string> states_;                    // last one that each said
-  std::map<int, std::set<std::string>> entries_;         // the same
-  std::set<int> started_;
+  std::map<int, std::string> states_;                    // last reported state, by number
+  std::map<int, std::set<std::string>> entries_;         // last reported entries, by number
+  std::set<int> started_;  // numbers of the voters that have reported that they started
   std::set<std::string> committed_;
   std::vector<std::string> errors_;
   int proposed_ = 0;
@@ -167,15 +171,16 @@
       io.run_one_until(end);
     }
   }
-  int draw(int least, int most) { return std::uniform_int_distribution<int>(least, most)(random_); }
-  // To all that run: whoever leads takes it.
+  int draw(int min, int max) { return std::uniform_int_distribution<int>(min, max)(random_); }
+  // Sends proposals to all running voters; the leader accepts them.
   void propose(int count) {
     for (int i = 0; i < count; ++i) {
       const std::string text = "entry-" + std::to_string(++proposed_);
-      for (auto& [number, voter] : voters_) voter->tell("propose " + text);
+      for (auto& [number, voter] : voters_) voter->send("propose " + text);
     }
   }
-  void proposeForAWhile() {
+  // Random numbers of proposals with random pauses.
+  void proposeAtRandomTimes() {
     for (int burst = draw(0, 4); burst > 0; --burst) {
       propose(draw(1, 20));
       runFor(milliseconds(draw(0, 30)));
@@ -186,15 +191,15 @@
     if (signal != SIGKILL) {
       EXPECT_TRUE(until([&] { return started_.contains(number) || !errors_.empty(); }));
     }
-    const int code = voter.end(signal);
+    const int code = voter.signalAndWait(signal);
     EXPECT_EQ(code, signal == SIGKILL ? -SIGKILL : 0) << "voter " << number;
-    EXPECT_TRUE(until([&] { return voter.isOver(); }));
+    EXPECT_TRUE(until([&] { return voter.isOutputClosed(); }));
     voters_.erase(number);
     states_.erase(number);
   }
-  // Of the voters that run; 0: none leads.
+  // Number of the running voter that leads; 0: none.
   int leader() {
-    for (auto& [number, voter] : voters_) voter->tell("state");
+    for (auto& [number, voter] : voters_) voter->send("state");
     runFor(milliseconds(5));
     for (const auto& [number, state] : states_)
       if (voters_.contains(number) && state.starts_with("leads")) return number;
@@ -206,7 +211,7 @@
     return found;
   }
   bool isPaused(int number) {
-    voters_.at(number)->tell("state");
+    voters_.at(number)->send("state");
     runFor(milliseconds(5));
     return states_[number].ends_with("paused");
   }
@@ -221,41 +226,41 @@
     }));
   }
   bool hasAllCommitted(int number) {
-    voters_.at(number)->tell("entries");
+    voters_.at(number)->send("entries");
     runFor(milliseconds(10));
     const std::set<std::string>& found = entries_[number];
     return std::includes(found.begin(), found.end(), committed_.begin(), committed_.end());
   }
-  // At each of the voters.
+  // Expects that every voter applies all committed entries, and that none has reported an error.
   void expectNothingLost() {
     for (int number = 1; number <= kVoters; ++number)
       EXPECT_TRUE(until([&] { return !errors_.empty() || hasAllCommitted(number); })) << "voter " << number;
     EXPECT_EQ(errors_, std::vector<std::string>());
   }
-  // A leader may wait for an answer to a snapshot, but not for long.
+  // The same within kMaxCatchUpTime: a leader must not wait long for the answer to a snapshot.
   void expectNothingLostSoon() {
     const auto begin = steady_clock::now();
     expectNothingLost();
-    EXPECT_LT(steady_clock::now() - begin, kCatchUpMost);
+    EXPECT_LT(steady_clock::now() - begin, kMaxCatchUpTime);
   }
-  // How often, and from which seed: for longer runs by hand.
-  static int numberFrom(const char* variable, int usual) {
-    const char* asked = std::getenv(variable);
-    return asked ? std::atoi(asked) : usual;
+  // The number of rounds and the seed can be set by environment variables, for longer manual runs.
+  static int numberFrom(const char* variable, int defaultValue) {
+    const char* value = std::getenv(variable);
+    return value ? std::atoi(value) : defaultValue;
   }
 };
 
-// Guards against a folder that can't be read at the next start, and against acknowledged entries that are
-// gone, after a voter was killed at a moment that nobody thought of.
-TEST_F(VoterProcessesTest, KilledAtDrawnMomentsTheyStartAgainAndLoseNothing) {
+// Guards against a folder that can't be read at the next start, and against lost acknowledged entries, after
+// a voter was killed at a random time.
+TEST_F(VoterProcessesTest, VotersKilledAtRandomTimesRestartWithoutLoss) {
   random_.seed(static_cast<std::uint64_t>(numberFrom("VOTERS_SEED", 1)));
   const int rounds = numberFrom("VOTERS_ROUNDS", 40);
   startAll();
   for (int round = 0; round < rounds && errors_.empty() && !HasFailure(); ++round) {
-    proposeForAWhile();
+    proposeAtRandomTimes();
     const int number = draw(1, kVoters);
     stop(number, draw(0, 3) > 0 ? SIGKILL : SIGTERM);
-    proposeForAWhile();
+    proposeAtRandomTimes();
     start(number);
   }
   commit(1);
@@ -263,9 +268,9 @@
   expectNothingLost();
 }
 
-// Guards against a folder that can't be read, and a voter that is left behind, where it was killed while a
-// snapshot was being installed.
-TEST_F(VoterProcessesTest, AVoterKilledWhileItIsSentASnapshotIsNotLeftBehind) {
+// Guards against a folder that can't be read, and against a voter that does not catch up, after it was killed
+// while a snapshot was being installed.
+TEST_F(VoterProcessesTest, AVoterKilledDuringASnapshotInstallationCatchesUp) {
   random_.seed(static_cast<std::uint64_t>(numberFrom("VOTERS_SEED", 1)));
   startAll();
   awaitLeader();
@@ -283,35 +288,35 @@
 class BrokenDiskTest : public VoterProcessesTest, public ::testing::WithParamInterface<DiskFault> {
  protected:
   void breakDiskOf(int number) {
-    voters_.at(number)->tell("break " + std::to_string(static_cast<int>(GetParam())));
+    voters_.at(number)->send("break " + std::to_string(static_cast<int>(GetParam())));
   }
-  void playWithBrokenDisk(int number) {
+  void expectPausedWhileDiskIsBroken(int number) {
     breakDiskOf(number);
     propose(4);
-    commit(24);  // by the others, past a snapshot
+    commit(24);  // by the other voters, enough for a snapshot
     EXPECT_TRUE(until([&] { return isPaused(number); }));
     EXPECT_TRUE(until([&] { return leader() != 0; }));
     EXPECT_NE(leader(), number);
-    voters_.at(number)->tell("heal");
+    voters_.at(number)->send("heal");
     EXPECT_TRUE(until([&] { return !isPaused(number); }));
     expectNothingLost();
   }
 };
 
-// Guards against a coordinator that ends while its disk fails, acknowledges what it has not written, or goes
-// on to lead.
-TEST_P(BrokenDiskTest, AVoterWhoseDiskFailsIsPausedUntilItIsBack) {
+// Guards against a coordinator that, while its disk fails, ends, acknowledges entries that it has not
+// written, or continues to lead.
+TEST_P(BrokenDiskTest, AVoterIsPausedWhileItsDiskFails) {
   startAll();
   for (int round = 0; round < 6 && !HasFailure(); ++round) {
     const int leading = awaitLeader();
     commit(8);
-    playWithBrokenDisk(round % 2 == 0 ? leading : leading % kVoters + 1);
+    expectPausedWhileDiskIsBroken(round % 2 == 0 ? leading : leading % kVoters + 1);
   }
 }
 
-// Guards against a voter that can't be stopped, or comes back without what it had, where its disk fails at
-// its end.
-TEST_P(BrokenDiskTest, AVoterIsStoppedWhileItsDiskFails) {
+// Guards against a voter that can't be stopped while its disk fails, or that has lost entries after its next
+// start.
+TEST_P(BrokenDiskTest, AVoterCanBeStoppedWhileItsDiskFails) {
   startAll();
   for (int round = 0; round < 4 && !HasFailure(); ++round) {
     const int leading = awaitLeader();
@@ -327,19 +332,19 @@
   }
 }
 
-// Guards against a majority that can't write, and thinks that it can commit.
-TEST_P(BrokenDiskTest, WithAllDisksBrokenNothingIsCommittedAndNobodyEnds) {
+// Guards against a majority that can't write but commits entries.
+TEST_P(BrokenDiskTest, WithAllDisksBrokenNothingIsCommittedAndNoVoterEnds) {
   startAll();
   awaitLeader();
   commit(8);
   for (int number = 1; number <= kVoters; ++number) breakDiskOf(number);
-  runFor(milliseconds(50));  // what was under way
+  runFor(milliseconds(50));  // for writes and proposals in progress
   const std::size_t before = committed_.size();
   propose(20);
   runFor(milliseconds(400));
   EXPECT_EQ(committed_.size(), before);
   EXPECT_EQ(leader(), 0);
-  for (int number = 1; number <= kVoters; ++number) voters_.at(number)->tell("heal");
+  for (int number = 1; number <= kVoters; ++number) voters_.at(number)->send("heal");
   commit(8);
   expectNothingLost();
 }
@@ -347,10 +352,10 @@
 INSTANTIATE_TEST_SUITE_P(EachFault, BrokenDiskTest,
                          ::testing::Values(DiskFault::noSpace, DiskFault::ioError, DiskFault::shortWrite));
 
-// Guards against a voter that crashes, or takes entries under wrong numbers, for what it is sent when it is
-// far behind, with the settings of the program: it comes back with an older copy of its folder, and with an
-// emptied one, from before and behind the leader's first snapshot.
-TEST_F(VoterProcessesTest, FarBehindWithTheProgramsSettingsAVoterCatchesUp) {
+// Guards against a voter that crashes, or appends entries under wrong indexes, when it is far behind and the
+// snapshot settings are those of the coordinator. It restarts with an older copy of its folder, and with an
+// empty one, both before and after the leader's first snapshot.
+TEST_F(VoterProcessesTest, AVoterFarBehindCatchesUpWithTheCoordinatorsSettings) {
   snapshots_ = {1024, 256};
   startAll();
   awaitLeader();
--- a/tests/consensus/voter_program.cpp
+++ b/tests/consensus/voter_program.cpp
@@ -1,13 +1,13 @@
-// A voter as a process of its own, for tests that kill it or break its disk. Told by lines on standard input,
-// and answers by lines on standard output:
+// A voter in its own process, for tests that kill it or break its disk. It reads commands as lines from
+// standard input and writes the answers as lines to standard output:
 //
 //     propose TEXT               committed TEXT | lost TEXT
-//     break FAULT | heal         (the disk of its folder)
+//     break FAULT | heal         (the disk of its folder; FAULT is a number of DiskFault)
 //     state                      state leads|follows paused|writes
 //     entries                    entries TEXT...
 //
-// Its first line is "started": from then on a signal stops it well.
-// SIGTERM stops it. What ends it otherwise is a line "error TEXT", and exit code 1.
+// Its first line is "started"; from then on SIGTERM stops it with exit code 0. If it ends by an exception, it
+// writes a line "error TEXT" and exits with code 1.
 #include <unistd.h>
 
 #include <boost/asio/io_context.hpp>
@@ -31,6 +31,7 @@
 
 namespace asio = boost::asio;
 
+// Records the entries that it applied, as a set.
 class RecordingMachine final : public consensus::StateMachine {
  public:
   void apply(std::string_view entry) override { entries.emplace(entry); }
@@ -40,6 +41,7 @@
     std::istringstream words{std::string(snapshot)};
     for (std::string word; words >> word;) entries.insert(word);
   }
+  // All entries, each followed by the separator.
   std::string text(char separator) const {
     std::string all;
     for (const std::string& entry : entries) all += entry + separator;
@@ -49,7 +51,7 @@
   std::set<std::string> entries;
 };
 
-void say(const std::string& line) { std::cout << line << std::endl; }
+void writeLine(const std::string& line) { std::cout << line << std::endl; }
 
 class VoterProgram {
  public:
@@ -60,7 +62,7 @@
         log_(io_, options, machine_) {
     signals_.async_wait([this](boost::system::error_code, int) { log_.stop([this] { io_.stop(); }); });
     readLine();
-    say("started");
+    writeLine("started");
   }
   void run() { io_.run(); }
 
@@ -71,21 +73,21 @@
                              if (ec) return;
                              const std::string line = buffer_.substr(0, size - 1);
                              buffer_.erase(0, size);
-                             obey(line);
+                             handleCommand(line);
                              readLine();
                            });
   }
-  void obey(const std::string& line) {
+  void handleCommand(const std::string& line) {
     const std::string word = line.substr(0, line.find(' '));
     const std::string rest = line.size() > word.size() ? line.substr(word.size() + 1) : std::string();
     if (word == "propose")
-      log_.propose(rest, [rest](bool committed) { say((committed ? "committed " : "lost ") + rest); });
+      log_.propose(rest, [rest](bool committed) { writeLine((committed ? "committed " : "lost ") + rest); });
     else if (word == "break") breakDisk(folder_, static_cast<DiskFault>(std::stoi(rest)));
     else if (word == "heal") healDisk();
-    else if (word == "entries") say("entries " + machine_.text(' '));
+    else if (word == "entries") writeLine("entries " + machine_.text(' '));
     else if (word == "state")
-      say(std::string("state ") + (log_.isLeader() ? "leads" : "follows") +
-          (log_.pauseReason() ? " paused" : " writes"));
+      writeLine(std::string("state ") + (log_.isLeader() ? "leads" : "follows") +
+                (log_.pauseReason() ? " paused" : " writes"));
   }
 
   asio::io_context io_;
@@ -121,7 +123,7 @@
     cairnjunction::testing::VoterProgram(cairnjunction::testing::readOptions(argv + 1)).run();
     return 0;
   } catch (const std::exception& error) {
-    cairnjunction::testing::say(std::string("error ") + error.what());
+    cairnjunction::testing::writeLine(std::string("error ") + error.what());
     return 1;
   }
 }
