--- a/src/consensus/raft_log.cpp
+++ b/src/consensus/raft_log.cpp
@@ -229,7 +229,7 @@
     of(fsm).snapshotError_ = error.what();
     return RAFT_CORRUPT;
   }
-  raft_free(snapshot->base);  // the machine has copied it, and on success we own it
+  raft_free(snapshot->base);  // on success the buffer is ours to free
   return 0;
 }
 
@@ -269,7 +269,7 @@
 }
 
 // If the library can't continue, it becomes unavailable without a notification. The voter would then look as
-// if it were unreachable, so this throws.
+// if it were cut off from the others, so this throws.
 void RaftLog::Impl::throwIfUnavailable() {
   if (const auto damage = storage_.damage()) throw LogError(*damage);
   if (stopping_ || raft_state(&raft_) != RAFT_UNAVAILABLE) return;
