--- a/src/consensus/raft_log.cpp
+++ b/src/consensus/raft_log.cpp
@@ -273,7 +273,7 @@
 void RaftLog::Impl::throwIfUnavailable() {
   if (const auto damage = storage_.damage()) throw LogError(*damage);
   if (stopping_ || raft_state(&raft_) != RAFT_UNAVAILABLE) return;
-  throw LogError(options_.folder + ": the voter can't continue: " + raft_errmsg(&raft_));
+  throw LogError(options_.folder + ": the voter can't go on: " + raft_errmsg(&raft_));
 }
 
 // A new leader's machine may not have applied all committed entries of earlier terms yet. The barrier
