--- a/src/http/framing.hpp
+++ b/src/http/framing.hpp
@@ -1,6 +1,6 @@
-// Strict check of a message's head, before it is parsed. If two readers could disagree on where a message
-// ends, a client could hide a second request in a body (request smuggling); so any ambiguous head is
-// rejected.
+// Strict check of the head of an HTTP/1.x message before it is parsed. If two parsers could disagree on where
+// a message ends, a client could hide a second request in a body (request smuggling). So any ambiguous head
+// is rejected.
 #pragma once
 
 #include <cstddef>
@@ -9,24 +9,35 @@
 
 namespace cairnjunction {
 
+// Scans one head (start line and header fields, up to the empty line) while it arrives.
 class HeadScanner {
  public:
   enum class Kind { request, answer };
-  enum class State { more, whole, bad };
+  enum class State {
+    more,   // the head is incomplete
+    whole,  // the head is complete and well formed
+    bad     // the head is malformed or ambiguous; the scanner must not be used any more
+  };
 
   explicit HeadScanner(Kind kind) : kind_(kind) {}
 
-  // `received`: all bytes since the message's first one. Continues where the last call stopped.
+  // `received`: all bytes received since the beginning of the message. Resumes where the previous call
+  // stopped. Limits no length: the caller does.
   State scan(std::string_view received);
-  std::size_t fields() const { return fields_; }
+  std::size_t fieldCount() const { return fieldCount_; }
 
  private:
-  bool takeLine(std::string_view line);
-  bool takeField(std::string_view line);
+  bool checkLine(std::string_view line);
+  bool checkField(std::string_view line);
 
   Kind kind_;
-  std::size_t at_ = 0, lineAt_ = 0, fields_ = 0;
-  bool first_ = true, length_ = false, coded_ = false, old_ = false;
+  std::size_t scanned_ = 0;    // offset in bytes of the first byte not scanned yet
+  std::size_t lineBegin_ = 0;  // offset in bytes of the current line
+  std::size_t fieldCount_ = 0;
+  bool firstLinePending_ = true;    // the start line is not complete yet
+  bool hasLength_ = false;          // a Content-Length field was found
+  bool hasTransferCoding_ = false;  // a Transfer-Encoding field was found
+  bool isHttp10_ = false;
 };
 
 }  // namespace cairnjunction
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -1,4 +1,4 @@
-// Converts the engine's calls and replies to and from HTTP/1.1 messages.
+// Converts calls and replies of the engine to and from HTTP/1.1 messages.
 #include "http/message.hpp"
 
 #include <algorithm>
@@ -18,12 +18,12 @@
 namespace http = boost::beast::http;
 using boost::beast::string_view;
 
-constexpr std::size_t kCopied = 16 << 10;  // bytes: a body up to here is sent in one buffer with its head
-constexpr std::size_t kHeadGuess = 256;    // bytes of a head beside its fields, reserved
+constexpr std::size_t kMaxCopiedBodyBytes = 16 << 10;  // a body up to this size is copied behind the head
+constexpr std::size_t kReservedHeadBytes = 256;        // reserved for the head, without the copied fields
 
 std::string_view view(string_view text) { return {text.data(), text.size()}; }
 
-bool hopByHop(http::field f) {
+bool isHopByHop(http::field f) {
   switch (f) {
     case http::field::connection:
     case http::field::keep_alive:
@@ -38,36 +38,37 @@
   }
 }
 
-// The names that a `Connection` field lists, in any case of letters.
-std::vector<std::string> namedByConnection(const http::fields& fields) {
-  std::vector<std::string> named;
-  if (fields.count(http::field::connection) == 0) return named;
+// The field names listed by the `Connection` field, which are hop-by-hop too. Case-insensitive.
+std::vector<std::string> connectionOptions(const http::fields& fields) {
+  std::vector<std::string> names;
+  if (fields.count(http::field::connection) == 0) return names;
   for (const auto& token : http::token_list(fields[http::field::connection]))
-    named.push_back(token.to_string());
-  return named;
+    names.push_back(token.to_string());
+  return names;
 }
 
-bool listed(const std::vector<std::string>& names, string_view name) {
+bool containsName(const std::vector<std::string>& names, string_view name) {
   return std::any_of(names.begin(), names.end(),
                      [&](const std::string& n) { return boost::beast::iequals(n, name); });
 }
 
+// Copies all fields except hop-by-hop fields and those for which skip(field) returns true.
 template <class Skip>
 void copyFields(const http::fields& from, Fields& to, Skip skip) {
-  const std::vector<std::string> named = namedByConnection(from);
-  to.reserve(kHeadGuess);
+  const std::vector<std::string> named = connectionOptions(from);
+  to.reserve(kReservedHeadBytes);
   for (const auto& field : from) {
-    if (hopByHop(field.name()) || skip(field)) continue;
-    if (!named.empty() && listed(named, field.name_string())) continue;
+    if (isHopByHop(field.name()) || skip(field)) continue;
+    if (!named.empty() && containsName(named, field.name_string())) continue;
     to.add(view(field.name_string()), view(field.value()));
   }
 }
 
-void addNumber(std::string& text, std::string_view name, std::uint64_t number) {
+void appendNumber(std::string& text, std::string_view name, std::uint64_t number) {
   text.append(name).append(std::to_string(number)).append("\r\n");
 }
 
-// In a query (RFC 3986, 3.4), where `%` begins what is written by its number.
+// Percent-encodes text for a query (RFC 3986, 3.4).
 std::string percentEncoded(std::string_view text) {
   constexpr std::string_view plain = "-._~!$'()*,;:@/?";
   constexpr char hex[] = "0123456789ABCDEF";
@@ -84,20 +85,20 @@
 
 }  // namespace
 
-std::string wireText(const HttpAnswer& answer, bool keep, Framing framing) {
+std::string responseText(const HttpResponse& response, bool keep, Framing framing) {
   std::string text;
-  text.reserve(kHeadGuess + answer.fields.text().size() + answer.body.size());
-  const auto status = static_cast<unsigned>(answer.status);
+  text.reserve(kReservedHeadBytes + response.fields.text().size() + response.body.size());
+  const auto status = static_cast<unsigned>(response.status);
   text.append("HTTP/1.1 ").append(std::to_string(status)).append(" ");
-  text.append(view(http::obsolete_reason(answer.status))).append("\r\n").append(answer.fields.text());
+  text.append(view(http::obsolete_reason(response.status))).append("\r\n").append(response.fields.text());
   if (!keep) text.append("Connection: close\r\n");
   if (framing == Framing::chunks) {
     text.append("Transfer-Encoding: chunked\r\n\r\n");
-    return answer.body.empty() ? text : text.append(chunkText(answer.body));
+    return response.body.empty() ? text : text.append(chunkText(response.body));
   }
   if (framing == Framing::length)
-    addNumber(text, "Content-Length: ", answer.length.value_or(answer.body.size()));
-  return text.append("\r\n").append(answer.body);
+    appendNumber(text, "Content-Length: ", response.length.value_or(response.body.size()));
+  return text.append("\r\n").append(response.body);
 }
 
 std::string chunkText(std::string_view bytes) {
@@ -109,40 +110,40 @@
   return text;
 }
 
-std::string wireText(const Call& call, const boost::asio::ip::tcp::endpoint& host, policy::Duration limit,
-                     std::string_view& body) {
+std::string requestText(const Call& call, const boost::asio::ip::tcp::endpoint& address,
+                        policy::Duration timeRemaining, std::string_view& body) {
   const Message& m = call.message;
-  // A call from another protocol has no HTTP method. A safe one becomes a GET, with its params in the query,
-  // since the content of a GET has no meaning (RFC 9110, 9.3.1).
+  // A call from a client of another protocol has no HTTP method. A safe call becomes a GET with its params in
+  // the query, since content in a GET request has no defined meaning (RFC 9110, 9.3.1).
   const std::string_view verb = !m.verb.empty() ? std::string_view(m.verb) : m.safe ? "GET" : "POST";
   const bool get = verb == "GET";
   const bool inQuery = get && m.format == Format::json && !m.body.empty();
   body = inQuery ? std::string_view() : std::string_view(m.body);
   std::string text;
-  const std::size_t copied = body.size() <= kCopied ? body.size() : 0;
-  text.reserve(kHeadGuess + m.target.size() + m.fields.text().size() + copied);
+  const std::size_t copiedBytes = body.size() <= kMaxCopiedBodyBytes ? body.size() : 0;
+  text.reserve(kReservedHeadBytes + m.target.size() + m.fields.text().size() + copiedBytes);
   text.append(verb).append(" ").append(m.target);
   if (inQuery) text.append("?params=").append(percentEncoded(m.body));
   text.append(" HTTP/1.1\r\nHost: ");
   if (m.authority.empty())
-    text.append(host.address().to_string()).append(":").append(std::to_string(host.port()));
+    text.append(address.address().to_string()).append(":").append(std::to_string(address.port()));
   else text.append(m.authority);
   text.append("\r\nX-Request-Id: ").append(call.externalId).append("\r\n");
   if (!call.idempotencyKey.empty())
     text.append("Idempotency-Key: ").append(call.idempotencyKey).append("\r\n");
-  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(limit).count();
-  addNumber(text, "X-Deadline-Ms: ", static_cast<std::uint64_t>(std::max<std::int64_t>(ms, 1)));
+  const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(timeRemaining).count();
+  appendNumber(text, "X-Deadline-Ms: ", static_cast<std::uint64_t>(std::max<std::int64_t>(ms, 1)));
   text.append(m.fields.text());
   if (m.format == Format::json && !body.empty()) text.append("Content-Type: application/json\r\n");
-  if (!get || !body.empty()) addNumber(text, "Content-Length: ", body.size());
+  if (!get || !body.empty()) appendNumber(text, "Content-Length: ", body.size());
   text.append("\r\n");
-  if (body.size() > kCopied) return text;
+  if (body.size() > kMaxCopiedBodyBytes) return text;
   text.append(body);
   body = {};
   return text;
 }
 
-Message messageOf(HttpRequest& request, const FieldNames& replaced) {
+Message messageOfRequest(HttpRequest& request, const FieldNames& replaced) {
   Message message;
   message.verb = request.method_string().to_string();
   message.target = request.target().to_string();
@@ -151,14 +152,14 @@
   copyFields(request, message.fields, [&](const auto& field) {
     if (field.name() == http::field::host) return true;
     const string_view name = field.name_string();
-    if (!replaced.empty() && listed(replaced, name)) return true;
+    if (!replaced.empty() && containsName(replaced, name)) return true;
     return boost::beast::iequals(name, "X-Request-Id") || boost::beast::iequals(name, "X-Deadline-Ms") ||
            boost::beast::iequals(name, "Idempotency-Key");
   });
   return message;
 }
 
-Message answerOf(const http::response_header<>& head) {
+Message messageOfResponse(const http::response_header<>& head) {
   Message message;
   copyFields(head, message.fields,
              [](const auto& field) { return boost::beast::iequals(field.name_string(), "X-Load"); });
--- a/src/http/request_writer.cpp
+++ b/src/http/request_writer.cpp
@@ -1,3 +1,4 @@
+// Writes the request of one attempt to a connection.
 #include "http/request_writer.hpp"
 
 #include <algorithm>
@@ -14,7 +15,7 @@
 
 void RequestWriter::begin(const Call& call, const asio::ip::tcp::endpoint& address,
                           policy::Duration timeRemaining) {
-  head_ = wireText(call, address, timeRemaining, body_);
+  head_ = requestText(call, address, timeRemaining, body_);
   written_ = 0;
 }
 
--- a/src/http/request_writer.hpp
+++ b/src/http/request_writer.hpp
@@ -1,4 +1,4 @@
-// Writes the request of one attempt to a connection, and knows whether its last byte is written.
+// Writes the request of one attempt to a connection and tracks whether its last byte has been written.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -14,24 +14,24 @@
 class RequestWriter {
  public:
   enum class Result {
-    written,  // to its last byte
-    blocked,  // the socket takes no more for now
-    failed    // the connection is broken, and the last byte was not written
+    written,  // the last byte has been written
+    blocked,  // the send buffer of the socket is full; call write() again when the socket is writable
+    failed    // the connection is broken, and the last byte has not been written
   };
 
-  // Begins the request. `call` must stay valid until write() has returned Result::written or clear() was
-  // called. `timeRemaining` is passed to the endpoint.
+  // Begins the request. `call` must stay valid until write() has returned Result::written or clear() has been
+  // called. `timeRemaining` is sent to the endpoint as the deadline.
   void begin(const Call& call, const boost::asio::ip::tcp::endpoint& address, policy::Duration timeRemaining);
-  // Writes as much as the socket takes, which must not block. By this and not by an operation of the library,
-  // whose completion may be in the event loop's queue when the attempt ends: then it could not be known
-  // whether the last byte was written.
+  // Writes as much as the socket accepts; the socket must be non-blocking. An asynchronous write is not used:
+  // its completion could still be queued in the event loop when the attempt ends, and then it would be
+  // unknown whether the last byte has been written.
   Result write(boost::asio::ip::tcp::socket& socket);
-  void clear();  // frees what the request took
+  void clear();  // drops the request
 
  private:
-  std::string head_;         // and a small body behind it
-  std::string_view body_;    // a larger body, which is the call's; empty when it is written
-  std::size_t written_ = 0;  // bytes of both together
+  std::string head_;         // includes a small body
+  std::string_view body_;    // a larger body, owned by the call; empty once written
+  std::size_t written_ = 0;  // bytes of head_ and body_ together
 };
 
 }  // namespace cairnjunction
--- a/src/http/response_reader.cpp
+++ b/src/http/response_reader.cpp
@@ -1,3 +1,4 @@
+// Parses the response to one request.
 #include "http/response_reader.hpp"
 
 #include <array>
@@ -13,9 +14,9 @@
 
 namespace {
 
-constexpr std::size_t kReadSize = 4096;            // bytes at a time; most answers are smaller
-constexpr std::size_t kStreamReadSize = 16 << 10;  // of an answer that is passed on
-constexpr int kMaxInterimResponses = 8;            // more than anyone has use for
+constexpr std::size_t kReadBytes = 4096;            // per read; most responses are smaller
+constexpr std::size_t kStreamReadBytes = 16 << 10;  // per read of a streamed response
+constexpr int kMaxInterimResponses = 8;             // more than any application needs
 
 }  // namespace
 
@@ -41,13 +42,13 @@
 }
 
 boost::asio::mutable_buffer ResponseReader::prepare() {
-  return buffer_.prepare(stream_ ? kStreamReadSize : kReadSize);
+  return buffer_.prepare(stream_ ? kStreamReadBytes : kReadBytes);
 }
 
 ResponseReader::State ResponseReader::read() {
   for (;;) {
     if (!headScanned_)
-      if (const State state = readHead(); state != State::whole) return state;
+      if (const State state = readHead(); state != State::complete) return state;
     switch (readBody()) {
       case BodyState::malformed: return State::malformed;
       case BodyState::abandoned: return State::abandoned;
@@ -55,19 +56,19 @@
     }
     if (!parser_->is_done()) {
       if (message_ && !isFramed() && outcome() != Outcome::served) return State::decidedByHead;
-      // The parser bounds head and body, but not the head of a chunk, and a full buffer would throw.
-      const bool full = buffer_.size() + kStreamReadSize > buffer_.max_size();
+      // The parser limits head and body, but not the line that begins a chunk, and a full buffer would throw.
+      const bool full = buffer_.size() + kStreamReadBytes > buffer_.max_size();
       return full ? State::malformed : State::incomplete;
     }
     const unsigned status = parser_->get().result_int();
-    if (status / 100 != 1) return State::whole;
-    // Nobody asked to change the protocol, so a 101 is no answer.
+    if (status / 100 != 1) return State::complete;
+    // The gateway never requests an upgrade, so a 101 (Switching Protocols) is invalid.
     if (status == 101 || ++interimResponses_ > kMaxInterimResponses) return State::malformed;
     beginMessage();
   }
 }
 
-// State::whole: the head is.
+// Returns State::complete once the head is complete.
 ResponseReader::State ResponseReader::readHead() {
   const auto data = buffer_.data();
   switch (scanner_.scan({static_cast<const char*>(data.data()), data.size()})) {
@@ -77,12 +78,12 @@
     case HeadScanner::State::whole: break;
   }
   headScanned_ = true;
-  return State::whole;
+  return State::complete;
 }
 
-// Moves what has come of the body out of the buffer.
+// Moves the received part of the body out of the buffer.
 ResponseReader::BodyState ResponseReader::readBody() {
-  std::array<char, kStreamReadSize> piece;
+  std::array<char, kStreamReadBytes> piece;
   while (!parser_->is_done()) {
     auto& into = parser_->get().body();
     into.data = piece.data();
@@ -92,13 +93,13 @@
     const std::size_t parsed = buffer_.size() > 0 ? parser_->put(buffer_.data(), ec) : 0;
     buffer_.consume(parsed);
     if (parser_->is_header_done() && !message_) {
-      // Beast 1.74 does not apply its limit where head and body come in one piece.
+      // Beast 1.74 does not apply its body limit if head and body arrive in one read.
       const auto length = parser_->content_length();
       if (length && *length > kBodyMost) return BodyState::malformed;
-      message_ = answerOf(parser_->get().base());
+      message_ = messageOfResponse(parser_->get().base());
     }
     const std::size_t bodyBytes = piece.size() - into.size;
-    if (const auto stream = stream_) {  // held, since what it calls may end the passing on
+    if (const auto stream = stream_) {  // a copy, since put() may call back and clear stream_
       stream->put({piece.data(), bodyBytes});
       if (!parser_) return BodyState::abandoned;
     } else if (message_) {
@@ -124,26 +125,26 @@
   if (status == http::status::ok) return Outcome::served;
   const bool busy = status == http::status::service_unavailable || status == http::status::gateway_timeout;
   if (busy && head["X-Not-Run"] == "1") return Outcome::overloaded;
-  // By the protocol these are about the request, not the endpoint: another one would deny it again.
+  // These statuses are about the request, not the endpoint: another endpoint would respond alike.
   if (status == http::status::bad_request || status == http::status::not_found)
     return Outcome::invalidRequest;
-  return Outcome::error;  // it may have been executed, whatever the answer says
+  return Outcome::error;  // it may have been executed, whatever the response says
 }
 
 bool ResponseReader::mayReuseConnection() const {
   return isFramed() && parser_->get().keep_alive() && buffer_.size() == 0;
 }
 
-bool ResponseReader::holdsTooMuch() const {
-  return !stream_ && message_ && message_->body.size() > kHeldAnswer;
+bool ResponseReader::exceedsBuffer() const {
+  return !stream_ && message_ && message_->body.size() > kMaxBufferedResponseBytes;
 }
 
-Message ResponseReader::passOnTo(std::shared_ptr<BodyStream> stream) {
+Message ResponseReader::streamTo(std::shared_ptr<BodyStream> stream) {
   stream_ = std::move(stream);
-  Message held = std::exchange(*message_, {});
-  held.rest = stream_;
-  if (const auto length = parser_->content_length()) held.length = *length;
-  return held;
+  Message buffered = std::exchange(*message_, {});
+  buffered.rest = stream_;
+  if (const auto length = parser_->content_length()) buffered.length = *length;
+  return buffered;
 }
 
 std::shared_ptr<BodyStream> ResponseReader::takeStream() { return std::exchange(stream_, nullptr); }
--- a/src/http/response_reader.hpp
+++ b/src/http/response_reader.hpp
@@ -1,5 +1,5 @@
-// Reads the answer to one request from the bytes of a connection: its head strictly, interim answers ahead of
-// it passed over, its body held or passed on to a stream. Tells what the answer means for the attempt. No
+// Parses the response to one request from the bytes of a connection: checks its head strictly, skips interim
+// (1xx) responses, and buffers the body or writes it to a stream. Derives the outcome of the attempt. Does no
 // I/O.
 #pragma once
 
@@ -23,43 +23,45 @@
 class ResponseReader {
  public:
   enum class State {
-    incomplete,     // more has to be read
-    whole,          // all of the answer is here
-    decidedByHead,  // its head denies the call, and only the end of the connection would end its body
-    malformed,      // it can't be read, or is longer than an answer may be
-    abandoned       // clear() was called from within, by the consumer of the stream
+    incomplete,     // more bytes have to be read
+    complete,       // the whole response has been read
+    decidedByHead,  // the status is no success, and the body would end only with the connection
+    malformed,      // the response is invalid or exceeds a limit
+    abandoned       // the consumer of the stream called clear() during read()
   };
 
-  // For the answer to a new request.
+  // Starts the response to a new request.
   void begin();
-  // Drops the answer.
+  // Drops the response.
   void clear();
-  void freeBuffer() { buffer_.shrink_to_fit(); }  // only while nothing is being read into it
+  void freeBuffer() { buffer_.shrink_to_fit(); }  // only while no read into it is pending
 
-  // Where the next bytes of the connection go, as many as should be read at once; then how many came.
+  // prepare() returns the buffer for the next read from the connection; commit() takes the number of bytes
+  // read into it.
   boost::asio::mutable_buffer prepare();
   void commit(std::size_t bytes) { buffer_.commit(bytes); }
-  // Reads what has come since the last call.
+  // Parses the bytes committed since the last call.
   State read();
-  // Whether an incomplete answer is whole if the peer closes its side now: one with neither a length nor
-  // chunks ends with the connection (RFC 9112, 6.3), any other is cut off.
+  // Whether an incomplete response becomes complete if the peer closes the connection now: true for one with
+  // neither a length nor the chunked coding (RFC 9112, 6.3); any other is truncated.
   bool endsWithConnection() const;
 
-  // What the answer means, once its head is here.
+  // The outcome of the attempt. Valid once the head has been parsed.
   policy::Outcome outcome() const;
-  // Once it is whole: whether the connection may carry another request. Bytes behind a whole answer would be
-  // taken for the next one.
+  // Whether the connection may carry another request. Valid once the response is complete. False if further
+  // bytes follow it, since they would be taken for the next response.
   bool mayReuseConnection() const;
 
-  // Whether so much of the body is held that it is to be passed on or dropped.
-  bool holdsTooMuch() const;
-  // From here on the body goes to `stream`. What was held of the answer, with its length if it is known.
-  Message passOnTo(std::shared_ptr<BodyStream> stream);
-  bool passesOn() const { return stream_ != nullptr; }
+  // Whether the buffered body exceeds kMaxBufferedResponseBytes, so that it has to be streamed or dropped.
+  bool exceedsBuffer() const;
+  // Writes the rest of the body to `stream` from now on. Returns the response as buffered so far, with its
+  // length if known. Call it only once the head has been parsed.
+  Message streamTo(std::shared_ptr<BodyStream> stream);
+  bool isStreaming() const { return stream_ != nullptr; }
   std::size_t streamRoom() const { return stream_->room(); }
-  // Ends the passing on; null, if there was none.
+  // Stops streaming and returns the stream; null if the response was not streamed.
   std::shared_ptr<BodyStream> takeStream();
-  // What is held of the answer; empty before its head is here.
+  // The response as buffered so far; empty before its head has been parsed.
   std::optional<Message> takeMessage();
 
  private:
@@ -69,17 +71,17 @@
   void beginMessage();
   State readHead();
   BodyState readBody();
-  bool isFramed() const;  // a length or chunks say where it ends
+  bool isFramed() const;  // by a length or the chunked coding
 
-  boost::beast::flat_buffer buffer_{kHeaderLimit + kHeldAnswer};  // not parsed yet
-  HeadScanner scanner_{HeadScanner::Kind::answer};                // of the present message's head
-  std::optional<Parser> parser_;                                  // empty between clear() and begin()
-  bool headScanned_ = false;                                      // the head is whole and well formed
-  // Set when the parser has the head: fields behind the last chunk are no part of it.
+  boost::beast::flat_buffer buffer_{kHeaderLimit + kMaxBufferedResponseBytes};  // bytes not parsed yet
+  HeadScanner scanner_{HeadScanner::Kind::answer};  // of the current message's head
+  std::optional<Parser> parser_;                    // empty between clear() and begin()
+  bool headScanned_ = false;                        // the head is complete and well formed
+  // Set as soon as the head is parsed, so that it has no trailer fields.
   std::optional<Message> message_;
-  std::shared_ptr<BodyStream> stream_;  // null: the body is held in message_
-  std::uint64_t bodyBytes_ = 0;         // of the present message
-  int interimResponses_ = 0;            // passed over since begin()
+  std::shared_ptr<BodyStream> stream_;  // null: the body is buffered in message_
+  std::uint64_t bodyBytes_ = 0;         // of the current message
+  int interimResponses_ = 0;            // skipped since begin()
 };
 
 }  // namespace cairnjunction
--- a/src/http/routing.hpp
+++ b/src/http/routing.hpp
@@ -1,4 +1,4 @@
-// What the HTTP frontend needs for routing: the router, the engines of its pools, and admission to them.
+// Interface that the HTTP frontend needs for routing: the router, the engines of the pools, and admission.
 #pragma once
 
 #include <chrono>
@@ -17,16 +17,17 @@
  public:
   // What an admitted call reserves until it ends.
   struct Hold {
-    std::size_t pool = 0;
-    std::uint64_t bytes = 0;
+    std::size_t pool = 0;     // index of the pool
+    std::uint64_t bytes = 0;  // of the request body
     std::vector<route::Decision::Counted> connections;
   };
 
   virtual const route::Router& router() const = 0;
-  virtual Engine* engineOf(std::string_view pool) = 0;  // null: there is none
-  // Admits a call of `bytes` within the bounds of its pool and route: returns 0 and sets `hold`, or the
-  // status that rejects it.
+  virtual Engine* engineOf(std::string_view pool) = 0;  // null: no pool has this name
+  // Admits a call whose body has `bytes` if the limits of its pool and route allow it: returns 0 and sets
+  // `hold`, or returns the HTTP status that rejects it.
   virtual int admit(const route::Decision& decision, std::uint64_t bytes, Hold& hold) = 0;
+  // The admitted call has ended: releases its reservation.
   virtual void over(const Hold& hold) = 0;
 
  protected:
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 connections of clients: accepts them, parses requests, writes responses, and detects disconnects.
+// HTTP/1.1 server: accepts connections of clients, parses requests, writes responses, detects disconnects.
 #pragma once
 
 #include <array>
@@ -18,90 +18,108 @@
 
 namespace cairnjunction {
 
-using ExchangeId = std::uint64_t;  // a request and its response; never reused
+using ExchangeId = std::uint64_t;  // identifies a request and its response; never reused
 
 struct ClientRequest {
   ExchangeId exchange = 0;
   HttpRequest message;
-  std::chrono::steady_clock::time_point came;  // last byte's arrival; the client timeout starts here
-  boost::asio::ip::address client;             // its address; unspecified unless tellClients() was called
+  // Arrival of the last byte; the client timeout starts here.
+  std::chrono::steady_clock::time_point receivedAt;
+  boost::asio::ip::address client;  // unspecified unless recordClientAddresses() was called
 };
 
-// Where to listen: an address, or an inherited listening socket that other processes have too, so that its
-// backlog is not lost when this process closes its descriptor.
-struct Listen {
+// Where to listen: at an address, or on an inherited listening socket. Other processes share that socket, so
+// its backlog is not lost when this process closes its descriptor.
+struct ListenOptions {
   boost::asio::ip::tcp::endpoint endpoint;
-  int inherited = -1;  // its descriptor, owned by the server; below 0: none
+  int inheritedDescriptor = -1;  // of the listening socket, owned by the server; below 0: none
 };
 
 class HttpServer {
  public:
   struct Limits {
-    std::size_t connections = 640;
-    std::size_t kept = 640;              // that have sent a request; above it the longest idle one is closed
-    std::size_t bodyBytes = 16 << 20;    // of all requests in flight together
-    std::uint64_t bodyMost = kBodyMost;  // bytes, of one
+    std::size_t connections = 640;  // maximum number of open connections
+    // Maximum number of connections that have sent a request; above it the longest idle one is closed.
+    std::size_t kept = 640;
+    std::size_t bodyBytes = 16 << 20;    // total of all request bodies in memory
+    std::uint64_t bodyMost = kBodyMost;  // of one request body, in bytes
     // Timeout for the first byte after connecting, for the complete head after its first byte, and between
-    // two pieces of a body. A client that misses one is disconnected.
+    // two reads of a body. The connection of a client that exceeds it is closed.
     std::chrono::milliseconds slow{2500};
-    std::chrono::milliseconds idle{15000};  // between requests
-    std::size_t leastPace = 16 << 10;  // bytes a second, least mean rate of a body once `slow` has passed
-    // Read throttling: pause after each 4 MiB that a client sends, and that are dropped, while its request is
-    // in flight. With some 10 MiB in the kernel's buffers a disconnect is seen within 0.15 s.
+    std::chrono::milliseconds idle{15000};  // timeout of an idle keep-alive connection
+    std::size_t minBodyRate = 16 << 10;     // bytes per second: minimum mean rate of a body after `slow`
+    // Read throttling: pause after each 4 MiB that a client sends, and the server drops, while its request is
+    // in flight. With some 10 MiB in the kernel's buffers a disconnect is detected within 0.15 s.
     std::chrono::milliseconds floodPause{50};
   };
   struct Callbacks {
-    std::function<void(ClientRequest)> request;  // the response is given by answer(), now or later
-    std::function<void(ExchangeId)> gone;        // its client disconnected; no response is needed
+    std::function<void(ClientRequest)> request;  // the receiver calls respond(), now or later
+    // The client of a pending request disconnected; respond() has no effect any more.
+    std::function<void(ExchangeId)> disconnected;
   };
 
-  // Listens at once. Throws boost::system::system_error.
-  HttpServer(boost::asio::io_context& io, const Listen& listen, Limits limits, Callbacks callbacks);
+  // Starts to listen; throws boost::system::system_error if that fails.
+  HttpServer(boost::asio::io_context& io, const ListenOptions& listen, Limits limits, Callbacks callbacks);
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
   boost::asio::ip::tcp::endpoint listening() const { return acceptor_.local_endpoint(); }
   void setLimits(const Limits& limits) { limits_ = limits; }
-  void answer(ExchangeId exchange, HttpAnswer answer);
-  void drop(ExchangeId exchange);              // closes its connection without a response
-  void tellClients() { tellClients_ = true; }  // from now on ClientRequest::client is set
-  void lastAnswers();                          // from now on each response closes its connection
-  void stopListening();  // accepts the backlog, then closes the listener; connections stay
-  void stopAccepting();  // stopListening(), and closes connections that are or become idle
-  std::size_t connections() const { return open_; }
+  // Sends the response to a request. No effect if its client has disconnected.
+  void respond(ExchangeId exchange, HttpResponse response);
+  void drop(ExchangeId exchange);                                  // closes the connection without a response
+  void recordClientAddresses() { recordClientAddresses_ = true; }  // from now on ClientRequest::client is set
+  // From now on each connection is closed after its response, unless pipelined requests have arrived: then
+  // after the last of them. Closes an inherited listener.
+  void lastAnswers();
+  void stopListening();  // accepts the backlog, then closes the listener; open connections stay
+  void stopAccepting();  // stopListening(), and closes each connection once it is idle
+  std::size_t connections() const { return openCount_; }
 
-  std::function<void()> onEmpty;  // after stopAccepting, once: the last connection is closed
+  std::function<void()> onEmpty;  // called once, when no connection is left after stopAccepting()
 
  private:
   class Session;
-  // Each state has a queue of its sessions, oldest first: the first one times out first.
-  enum class State { fresh, idle, begun, waiting, writing, lingering, closed };
+  // States of a connection. Each has a queue of its sessions, ordered by the time they entered the state, so
+  // that the first one times out first.
+  enum class State {
+    fresh,      // accepted; no byte was received
+    idle,       // idle keep-alive connection
+    begun,      // part of a request was received
+    waiting,    // the response to a request is pending
+    writing,    // a response is being written
+    lingering,  // lingering close
+    closed
+  };
   using Queue = std::list<std::shared_ptr<Session>>;
 
   void accept();
-  bool takeWaiting(std::size_t most);
-  void takeAll();
-  void admit(boost::asio::ip::tcp::socket socket);
-  bool makeRoom();
-  void keepRoom();
-  bool closeOneOf(State state, std::chrono::steady_clock::time_point before, bool half = false);
-  void ended();
-  void toldEmpty();
+  bool acceptPending(std::size_t max);
+  void acceptAll();
+  void addSession(boost::asio::ip::tcp::socket socket);
+  bool freeCapacity();
+  void limitKeptConnections();
+  bool closeOldest(State state, std::chrono::steady_clock::time_point before, bool allowPartial = false);
+  void onSessionClosed();
+  void notifyEmpty();
   Queue& queue(State state) { return queues_[static_cast<std::size_t>(state)]; }
   void sweep();
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  const bool shared_;  // other processes have the listening socket too
+  const bool isInherited_;  // other processes share the listening socket
   Limits limits_;
   Callbacks callbacks_;
-  boost::asio::steady_timer sweeper_, again_;
+  boost::asio::steady_timer sweepTimer_, acceptRetry_;
   std::array<Queue, 7> queues_;
-  std::size_t open_ = 0, bodies_ = 0;
-  std::unordered_map<ExchangeId, std::shared_ptr<Session>> waiting_;
+  std::size_t openCount_ = 0;  // open connections
+  std::size_t bodyBytes_ = 0;  // of bodies and pipelined requests in memory
+  std::unordered_map<ExchangeId, std::shared_ptr<Session>> awaitingResponse_;
   ExchangeId lastExchange_ = 0;
-  bool last_ = false, closing_ = false, tellClients_ = false;
+  bool closeAfterResponse_ = false;  // lastAnswers() was called
+  bool closeIdle_ = false;           // stopAccepting() was called
+  bool recordClientAddresses_ = false;
   CallbackGuard lifetime_;  // guards callbacks still queued in the event loop
 };
 
--- a/src/http/upstream.cpp
+++ b/src/http/upstream.cpp
@@ -1,3 +1,4 @@
+// Runs attempts over HTTP/1.1.
 #include "http/upstream.hpp"
 
 #include <chrono>
--- a/src/http/upstream.hpp
+++ b/src/http/upstream.hpp
@@ -1,4 +1,4 @@
-// Attempts over HTTP/1.1: finds a connection for each and passes on what ends it. Never repeats an attempt by
+// Runs attempts over HTTP/1.1: acquires a connection for each and reports its outcome. Never retries by
 // itself.
 #pragma once
 
@@ -22,8 +22,9 @@
   using Limits = HttpConnectionLimits;
   using Ended = HttpConnection::Attempts::Ended;
 
-  // `ended` is called once for each attempt; it must not destroy the upstream. Without `started` no answer is
-  // passed on while it comes: one whose body is above kHeldAnswer counts as malformed.
+  // `ended` is called once for each attempt; it must not destroy the upstream. `started` is called when a
+  // response begins to be streamed. Without it no response is streamed: one whose body exceeds
+  // kMaxBufferedResponseBytes counts as malformed.
   HttpUpstream(boost::asio::io_context& io, const Limits& limits, Ended ended,
                ResponseStarted started = nullptr);
   ~HttpUpstream() override;
@@ -31,8 +32,8 @@
   HttpUpstream& operator=(const HttpUpstream&) = delete;
 
   void setLimits(const Limits& limits) { pool_.setLimits(limits); }
-  // Beside the limit, each connection takes one of a quota that is shared with others, which must outlive the
-  // upstream. Null: the limit alone.
+  // Besides the connection limit, each connection acquires a descriptor from `quota`, which is shared with
+  // other users and must outlive the upstream. Null: only the limit applies.
   void shareDescriptors(DescriptorQuota* quota) { pool_.setDescriptorQuota(quota); }
 
   void start(AttemptKey key, policy::EndpointId endpoint, const Call& call,
--- a/src/http/upstream_connection.cpp
+++ b/src/http/upstream_connection.cpp
@@ -1,3 +1,4 @@
+// An HTTP/1.1 connection to an endpoint.
 #include "http/upstream_connection.hpp"
 
 #include <algorithm>
@@ -20,9 +21,10 @@
 
 namespace {
 
-// Held of an answer that is passed on: a few reads, since there may be as many as clients have connections.
-constexpr std::size_t kStreamCapacity = 32 << 10;
-// An endpoint that falls silent within an answer, or a client that reads nothing, would hold the connection.
+// Buffer of a streamed response: a few reads only, since there may be one for each client connection.
+constexpr std::size_t kStreamCapacityBytes = 32 << 10;
+// Limits how long an endpoint that stops sending within a response, or a client that stops reading, occupies
+// the connection.
 constexpr Duration kStallTimeout = std::chrono::seconds(10);
 
 }  // namespace
@@ -33,7 +35,7 @@
   address_ = address;
   call_ = &call;
   deadlines_ = deadlines;
-  mayPassOn_ = call.acceptsStreaming && responseStarted_;
+  mayStream_ = call.acceptsStreaming && responseStarted_;
   if (reused_) writeWhenQuiet();
   else connect();
 }
@@ -41,8 +43,8 @@
 // --- Connecting -----------------------------------------------------------------------------------------
 
 void HttpConnection::connect() {
-  // Until the connection is up nothing has been written, so the end of the attempt's own time proves that it
-  // was not executed, as the end of the time for connecting does.
+  // Until the connection is established nothing has been written. So a timeout of the attempt proves that it
+  // was not executed, just as the connect timeout does.
   const auto connectBy = deadlines_.startedAt + pool_.limits().connectTimeout;
   const auto attemptEnd = deadlines_.unwrittenEnd();
   if (attemptEnd < connectBy) endAt(attemptEnd, Outcome::connectFailed, FailureReason::attemptTimeout);
@@ -63,8 +65,8 @@
   else end(Outcome::connectFailed, FailureReason::cancelledBeforeSend);
 }
 
-// The list may have drained, dropped or moved the endpoint since the attempt began, and what is written after
-// that would be new to it. So it is asked again ahead of the first byte.
+// Checked again before the first byte is written: since the attempt began, the endpoint list may have changed
+// the endpoint to draining, removed it or changed its address, and it must get no new request after that.
 bool HttpConnection::isEndpointServing() const { return pool_.endpoints().isServingAt(endpoint_, address_); }
 
 void HttpConnection::writeWhenQuiet() {
@@ -85,9 +87,9 @@
 
 // --- Writing --------------------------------------------------------------------------------------------
 
-// The text is made only now: it tells the endpoint the time that is left, and connecting or waiting may have
-// taken much of it. Until the last byte is written the attempt was not executed, so both of its timeouts end
-// it as that.
+// The request is formatted only now: it contains the remaining time, and connecting or the quiet period may
+// have used much of it. Until the last byte is written the attempt is not executed, so both of its timeouts
+// end it as not sent.
 void HttpConnection::beginWriting() {
   phase_ = Phase::writing;
   writer_.begin(*call_, address_, deadlines_.responseBy - Clock::now());
@@ -96,7 +98,7 @@
 }
 
 void HttpConnection::write() {
-  // Also here, since the timer may be late.
+  // Checked here too, since the timer may fire late.
   if (Clock::now() >= deadlines_.unwrittenEnd())
     return end(Outcome::connectFailed, FailureReason::attemptTimeout);
   switch (writer_.write(socket_)) {
@@ -127,9 +129,9 @@
   receive();
 }
 
-// An attempt may end, by its time or by a cancel, with a completed read still in the event loop's queue. So
-// no operation of a library may hold the parser: only the socket is read here, and the phase tells whether
-// what has come is still wanted.
+// An attempt may end, by a timeout or by cancel(), while a completed read is still queued in the event loop.
+// So no library operation may refer to the parser: only the socket is read here, and the phase shows whether
+// the received bytes are still needed.
 void HttpConnection::receive() {
   if (readingPaused_) return;
   socket_.async_read_some(reader_.prepare(),
@@ -144,13 +146,13 @@
 void HttpConnection::onReceived() {
   switch (reader_.read()) {
     case ResponseReader::State::incomplete:
-      if (passOnBody()) receive();
+      if (streamBody()) receive();
       return;
-    case ResponseReader::State::whole:
+    case ResponseReader::State::complete:
       return end(reader_.outcome(), FailureReason::unknown, reader_.mayReuseConnection());
     case ResponseReader::State::decidedByHead: return end(reader_.outcome());
     case ResponseReader::State::malformed: return end(Outcome::error, FailureReason::malformedResponse);
-    case ResponseReader::State::abandoned: return;  // the attempt has ended from within
+    case ResponseReader::State::abandoned: return;  // the consumer of the stream has ended the attempt
   }
 }
 
@@ -159,25 +161,26 @@
   end(whole ? Outcome::served : Outcome::reset);
 }
 
-// Of an answer that is not whole yet. False if there is nothing to read for now, or no more.
-bool HttpConnection::passOnBody() {
-  if (reader_.passesOn()) {
+// Streams an incomplete response if it must be. Returns whether to read on: false if the stream is full or
+// the attempt has ended.
+bool HttpConnection::streamBody() {
+  if (reader_.isStreaming()) {
     endAt(Clock::now() + kStallTimeout, Outcome::reset);
   } else {
-    if (!reader_.holdsTooMuch()) return true;
-    if (reader_.outcome() != Outcome::served || !mayPassOn_) {
+    if (!reader_.exceedsBuffer()) return true;
+    if (reader_.outcome() != Outcome::served || !mayStream_) {
       end(Outcome::error, FailureReason::malformedResponse);
       return false;
     }
-    startPassingOn();
-    if (phase_ != Phase::reading || !reader_.passesOn()) return false;  // ended from within
+    startStreaming();
+    if (phase_ != Phase::reading || !reader_.isStreaming()) return false;  // ended by the callback
   }
   readingPaused_ = reader_.streamRoom() == 0;
   return !readingPaused_;
 }
 
-void HttpConnection::startPassingOn() {
-  const auto stream = std::make_shared<BodyStream>(kStreamCapacity);
+void HttpConnection::startStreaming() {
+  const auto stream = std::make_shared<BodyStream>(kStreamCapacityBytes);
   stream->onLeft = [weak = weak_from_this()] {
     if (const auto self = weak.lock()) self->onStreamLeft();
   };
@@ -185,7 +188,7 @@
     if (const auto self = weak.lock()) self->onStreamRoom();
   };
   AttemptOutcome started{key_, endpoint_, Outcome::served, Clock::now() - deadlines_.startedAt,
-                         reader_.passOnTo(stream)};
+                         reader_.streamTo(stream)};
   started.connectionUse = connectionUse();
   endAt(Clock::now() + kStallTimeout, Outcome::reset);
   onlyStreaming_ = true;
@@ -213,8 +216,8 @@
     end(Outcome::connectFailed, FailureReason::cancelledBeforeSend);
 }
 
-// The connection is kept only after a whole answer: on any other the rest of the answer may still come, and
-// would be taken for the answer to the next request.
+// The connection is reused only after a complete response: otherwise the rest of the response may still
+// arrive, and would be taken for the response to the next request.
 void HttpConnection::end(Outcome outcome, FailureReason reason, bool reusable) {
   const auto self = shared_from_this();
   AttemptOutcome ended{key_, endpoint_, outcome, Clock::now() - deadlines_.startedAt, {}, reason};
@@ -225,7 +228,8 @@
   if (outcome == Outcome::served && message) ended.response = std::move(*message);
   reader_.clear();
   const auto* const entry = pool_.endpoints().find(endpoint_);
-  // While it was only streaming, the endpoint's id may have been given to another one.
+  // While the connection was excluded from the counts, the endpoint's id may have been reused for another
+  // one.
   ended.connectionKept =
       reusable && entry != nullptr && entry->serving && (!onlyStreaming_ || entry->address == address_);
   if (ended.connectionKept) {
@@ -234,7 +238,7 @@
   } else {
     close();
   }
-  // The stream last: the client may go on to its next request.
+  // The stream is ended last, since the client may then send its next request.
   attempts_.end(std::move(ended));
   if (!stream) return;
   if (outcome == Outcome::served) stream->finish();
@@ -268,8 +272,8 @@
   watchIdle();
 }
 
-// An idle connection becomes readable when the endpoint closes it; what an endpoint sends unasked ends it
-// too.
+// An idle connection becomes readable when the endpoint closes it or sends unsolicited bytes. Either way the
+// connection is closed.
 void HttpConnection::watchIdle() {
   if (std::exchange(watchingIdle_, true)) return;
   socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](const error_code&) {
@@ -282,9 +286,10 @@
 
 bool HttpConnection::isUsable() { return isOpenAndSilent(socket_); }
 
-// --- Time -----------------------------------------------------------------------------------------------
+// --- Timer ----------------------------------------------------------------------------------------------
 
-// The number of a wait tells one that is already due when the timer is moved.
+// Ends the attempt at `time`. The wait number makes a wait ineffective that had already expired when the
+// timer was set again.
 void HttpConnection::endAt(Clock::time_point time, Outcome outcome, FailureReason reason) {
   timer_.expires_at(time);
   timer_.async_wait([self = shared_from_this(), wait = ++timerWait_, outcome, reason](const error_code& ec) {
--- a/src/http/upstream_connection.hpp
+++ b/src/http/upstream_connection.hpp
@@ -1,5 +1,5 @@
-// A connection to an endpoint over HTTP/1.1, with one attempt at a time on it. docs/design/http-upstream.md
-// has its states and what each event does in them.
+// An HTTP/1.1 connection to an endpoint, which carries one attempt at a time. docs/design/http-upstream.md
+// lists its states and the transition for each event.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,8 +26,8 @@
   using Clock = std::chrono::steady_clock;
   using Attempts = AttemptTracker<HttpConnection>;
 
-  // Not connected yet. What is referred to must outlive the last event of the connection: it has none after
-  // close(). `responseStarted` may be empty: then no answer is passed on.
+  // Not connected yet. The referenced objects must stay valid until close(); no event is handled after that.
+  // If `responseStarted` is empty, no response is streamed.
   HttpConnection(boost::asio::io_context& io, HttpConnectionPool& pool, Attempts& attempts,
                  const ResponseStarted& responseStarted, policy::EndpointId endpoint)
       : pool_(pool),
@@ -37,26 +37,26 @@
         socket_(io),
         timer_(io) {}
 
-  // Begins an attempt, whose key `attempts` has with this connection already: connects first, or waits until
-  // the connection has been quiet. `call` must stay valid until the attempt has ended.
+  // Begins an attempt, which the caller has added to `attempts` with this connection: connects first, or
+  // waits for the end of the quiet period. `call` must stay valid until the attempt has ended.
   void start(AttemptKey key, const boost::asio::ip::tcp::endpoint& address, const Call& call,
              const AttemptDeadlines& deadlines);
   void cancel();          // ends the attempt
-  void cancelIfUnsent();  // ends the attempt if its last byte is not written
-  // Closes it without a report, whatever its state. It must not be in the pool's hands any more.
+  void cancelIfUnsent();  // ends the attempt unless the last byte of its request is written
+  // Closes it in any state, without reporting an outcome. The pool must not list it as idle any more.
   void close();
 
   policy::EndpointId endpoint() const { return endpoint_; }
   Clock::time_point idleSince() const { return idleSince_; }  // since the end of the last attempt
-  bool isUsable();  // of an idle one: nothing has come, and the endpoint has not closed it
+  bool isUsable();  // of an idle one: no byte was received, and the endpoint has not closed it
 
  private:
   enum class Phase {
     connecting,  // also before start()
-    quiet,       // used before; waits until nothing can come any more behind the last answer
+    quiet,       // reused; waits for the end of the quiet period after the last response
     writing,     // the last byte of the request is not written
-    reading,     // written whole
-    idle,        // no attempt; in the pool's hands
+    reading,     // the request is written; the response is not complete
+    idle,        // no attempt; listed as idle by the pool
     closed
   };
 
@@ -71,8 +71,8 @@
   void receive();
   void onReceived();
   void onReadFailed(const boost::system::error_code& ec);
-  bool passOnBody();
-  void startPassingOn();
+  bool streamBody();
+  void startStreaming();
   void onStreamRoom();
   void onStreamLeft();
   void end(policy::Outcome outcome, policy::FailureReason reason = policy::FailureReason::unknown,
@@ -89,22 +89,22 @@
   Attempts& attempts_;
   const ResponseStarted& responseStarted_;
   const policy::EndpointId endpoint_;
-  boost::asio::ip::tcp::endpoint address_;  // that it is connected to; set by start()
-  boost::asio::ip::tcp::socket socket_;     // open from connect() to close(); never blocks
-  boost::asio::steady_timer timer_;         // for the present phase
-  std::uint64_t timerWait_ = 0;             // number of the timer's latest wait; earlier ones are void
+  boost::asio::ip::tcp::endpoint address_;  // of the endpoint; set by start()
+  boost::asio::ip::tcp::socket socket_;     // open from connect() to close(); non-blocking
+  boost::asio::steady_timer timer_;         // for the current phase
+  std::uint64_t timerWait_ = 0;             // number of the timer's latest wait; earlier waits have no effect
   Phase phase_ = Phase::connecting;
-  AttemptKey key_;              // of the present attempt; void while idle
-  AttemptDeadlines deadlines_;  // of the present attempt
-  const Call* call_ = nullptr;  // of the present attempt, until it is written; null after that
+  AttemptKey key_;              // of the current attempt; meaningless while idle
+  AttemptDeadlines deadlines_;  // of the current attempt
+  const Call* call_ = nullptr;  // of the current attempt until its request is written; null after that
   RequestWriter writer_;
   ResponseReader reader_;
   Clock::time_point idleSince_;
-  bool established_ = false;    // the connection was up
-  bool reused_ = false;         // an attempt has ended on it
-  bool mayPassOn_ = false;      // the present attempt's answer may be passed on while it comes
-  bool readingPaused_ = false;  // the stream has no room; onStreamRoom() goes on
-  bool onlyStreaming_ = false;  // excluded from its endpoint's counts, as it passes on an answer
+  bool established_ = false;    // the connection has been established
+  bool reused_ = false;         // an attempt has ended on this connection
+  bool mayStream_ = false;      // the response of the current attempt may be streamed
+  bool readingPaused_ = false;  // the stream is full; onStreamRoom() resumes reading
+  bool onlyStreaming_ = false;  // excluded from its endpoint's counts, since it streams a response
   bool watchingIdle_ = false;   // a wait for the socket to become readable is pending
 };
 
--- a/src/http/upstream_pool.cpp
+++ b/src/http/upstream_pool.cpp
@@ -1,3 +1,4 @@
+// The connections of an HTTP upstream.
 #include "http/upstream_pool.hpp"
 
 #include <algorithm>
@@ -56,7 +57,7 @@
 bool HttpConnectionPool::mayOpen() {
   if (counts_.total() >= limits_.connections && !closeOldestIdle()) return false;
   if (descriptorQuota_ == nullptr || descriptorQuota_->acquire()) return true;
-  // An idle connection of ours gives one back.
+  // Closing one of our idle connections releases a descriptor.
   return closeOldestIdle() && descriptorQuota_->acquire();
 }
 
@@ -64,8 +65,8 @@
   auto& idle = entry.connections;
   const auto quietSince = Clock::now() - limits_.quiet;
   while (!idle.empty()) {
-    // The latest used of those that have been quiet, so that few are kept in use; where none has, the one
-    // that will be the first.
+    // The most recently used one whose quiet period has passed, so that few connections stay in use; if there
+    // is none, the one whose quiet period ends first.
     const auto quiet = std::find_if(idle.rbegin(), idle.rend(), [&](const ConnectionPtr& connection) {
       return connection->idleSince() <= quietSince;
     });
@@ -95,7 +96,7 @@
   return cairnjunction::isIdleTooLong(connection.idleSince(), Clock::now(), limits_.idleClose);
 }
 
-// Idle connections whose endpoint does not serve any more, or would close them soon.
+// Closes idle connections whose endpoint is no longer active, or would close them soon.
 void HttpConnectionPool::closeOutdated() {
   endpoints_.forEach([this](Endpoints::Entry& entry) {
     std::erase_if(entry.connections, [&](const ConnectionPtr& connection) {
--- a/src/http/upstream_pool.hpp
+++ b/src/http/upstream_pool.hpp
@@ -1,5 +1,5 @@
-// The connections of an HTTP upstream: opens them within its limits, keeps idle ones for each endpoint and
-// closes those that are of no more use.
+// The connections of an HTTP upstream: opens them within its limits, pools the idle ones of each endpoint and
+// closes those that can't be used any more.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,18 +19,20 @@
 namespace cairnjunction {
 
 struct HttpConnectionLimits {
-  std::size_t connections = 256;      // over all endpoints
-  policy::Duration connectTimeout{};  // for a new connection
-  policy::Duration idleClose{};       // endpoints close idle ones after this at the latest; 0 = never
-  // Nothing is written to a connection for so long after an answer. An endpoint that answers twice does it
-  // some milliseconds late, and the second answer would be taken for the answer to the next request.
+  std::size_t connections = 256;      // maximum, to all endpoints together
+  policy::Duration connectTimeout{};  // for establishing a connection
+  policy::Duration idleClose{};       // idle time after which endpoints may close a connection; 0 = never
+  // Quiet period: no request is written to a connection until this time after its last response. A faulty
+  // endpoint that responds twice sends the second response some milliseconds late, and it would be taken for
+  // the response to the next request.
   policy::Duration quiet = std::chrono::milliseconds(5);
 };
 
 class HttpConnectionPool {
  public:
   using ConnectionPtr = std::shared_ptr<HttpConnection>;
-  using Endpoints = EndpointTable<HttpConnection>;  // with the idle connections, the latest used last
+  // Each endpoint with its idle connections, the most recently used last.
+  using Endpoints = EndpointTable<HttpConnection>;
   using MakeConnection = std::function<ConnectionPtr(policy::EndpointId)>;
 
   // `counts` must outlive the pool.
@@ -41,27 +43,31 @@
 
   const HttpConnectionLimits& limits() const { return limits_; }
   void setLimits(const HttpConnectionLimits& limits) { limits_ = limits; }
-  // Beside the limit, each connection takes one of these. Must outlive the pool; null: the limit alone.
+  // Besides the connection limit, each connection acquires a descriptor from `quota`, which must outlive the
+  // pool. Null: only the limit applies.
   void setDescriptorQuota(DescriptorQuota* quota) { descriptorQuota_ = quota; }
 
   Endpoints& endpoints() { return endpoints_; }
   std::size_t endpointCount() const { return endpoints_.size(); }
   ConnectionCounts& counts() { return counts_; }
-  // As EndpointUpstream has them.
+  // These implement the functions of EndpointUpstream with the same names.
   bool updateEndpoint(policy::EndpointId endpoint, const boost::asio::ip::tcp::endpoint& address,
                       bool serving);
   void forget(policy::EndpointId endpoint);
   void closeIdle(policy::EndpointId endpoint);
-  void stop();  // closes the idle ones
+  void stop();  // closes all idle connections
 
   // A connection for an attempt to an endpoint of the table: an idle one, or a new one that is not connected
-  // yet, for which an idle one is closed if need be. Null if there is no room for another one.
+  // yet. At a limit the longest idle connection is closed for it. Null if a limit is reached and none is
+  // idle.
   ConnectionPtr acquire(Endpoints::Entry& entry, policy::EndpointId endpoint);
 
-  // From its connections. One that has become idle is kept, if its endpoint is in the table;
+  // Called by the connections. Adds one that has become idle, if its endpoint is in the table.
   void addIdle(ConnectionPtr connection);
-  void closeIdle(const ConnectionPtr& connection);  // one that is kept is of no more use;
-  // one was closed. `onlyStreaming`: it was excluded from its endpoint's counts.
+  // Removes an idle connection that can't be used any more, and closes it.
+  void closeIdle(const ConnectionPtr& connection);
+  // A connection was closed. `established`: it had been connected; `onlyStreaming`: it was excluded from the
+  // counts of its endpoint.
   void onClosed(policy::EndpointId endpoint, bool established, bool onlyStreaming);
 
  private:
--- a/tests/http/large_test.cpp
+++ b/tests/http/large_test.cpp
@@ -306,7 +306,7 @@
 
 TEST_F(LargeTest, ABodyThatFallsBehindItsPaceOrStandsStillIsEnded) {
   waits.clients.slow = std::chrono::milliseconds(100);
-  waits.clients.leastPace = 1 << 30;
+  waits.clients.minBodyRate = 1 << 30;
   start([](PeerConnection& c) { c.reply(answerText(200, "", "ok")); });
   auto slow = client(), still = client();
   const std::string head = "POST /write HTTP/1.1\r\nHost: x\r\nContent-Length: 100000000\r\nX-Request-Id: ";
--- a/tests/http/response_reader_test.cpp
+++ b/tests/http/response_reader_test.cpp
@@ -31,7 +31,7 @@
     }
     return state;
   }
-  std::string heldBody() {
+  std::string bufferedBody() {
     const auto message = reader.takeMessage();
     return message ? message->body : "nothing";
   }
@@ -43,30 +43,30 @@
   for (std::size_t cut = 1; cut < kWhole.size(); ++cut) {
     reader.begin();
     EXPECT_EQ(feed(kWhole.substr(0, cut)), State::incomplete) << cut;
-    EXPECT_EQ(feed(kWhole.substr(cut)), State::whole) << cut;
+    EXPECT_EQ(feed(kWhole.substr(cut)), State::complete) << cut;
     EXPECT_EQ(reader.outcome(), Outcome::served);
     EXPECT_TRUE(reader.mayReuseConnection());
-    EXPECT_EQ(heldBody(), "body");
+    EXPECT_EQ(bufferedBody(), "body");
     reader.clear();
   }
 }
 
 // What comes behind an answer would be taken for the answer to the next request.
 TEST_F(ResponseReaderTest, AConnectionWithBytesBehindTheAnswerIsNotUsedAgain) {
-  EXPECT_EQ(feed(std::string(kWhole) + "H"), State::whole);
+  EXPECT_EQ(feed(std::string(kWhole) + "H"), State::complete);
   EXPECT_FALSE(reader.mayReuseConnection());
 }
 
 TEST_F(ResponseReaderTest, AConnectionThatTheEndpointClosesIsNotUsedAgain) {
-  EXPECT_EQ(feed("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"), State::whole);
+  EXPECT_EQ(feed("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"), State::complete);
   EXPECT_FALSE(reader.mayReuseConnection());
 }
 
 TEST_F(ResponseReaderTest, EightInterimAnswersArePassedOverAndNoMore) {
   std::string interim;
   for (int i = 0; i < 8; ++i) interim += "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
-  EXPECT_EQ(feed(interim + std::string(kWhole)), State::whole);
-  EXPECT_EQ(heldBody(), "body");
+  EXPECT_EQ(feed(interim + std::string(kWhole)), State::complete);
+  EXPECT_EQ(bufferedBody(), "body");
   reader.begin();
   EXPECT_EQ(feed(interim + "HTTP/1.1 103 Early Hints\r\n\r\n"), State::malformed);
 }
@@ -79,7 +79,7 @@
   EXPECT_FALSE(reader.endsWithConnection()) << "no head yet";
   EXPECT_EQ(feed("HTTP/1.1 200 OK\r\nX: y\r\n\r\nbo"), State::incomplete);
   EXPECT_TRUE(reader.endsWithConnection());
-  EXPECT_EQ(heldBody(), "bo");
+  EXPECT_EQ(bufferedBody(), "bo");
 }
 
 TEST_F(ResponseReaderTest, AFramedAnswerIsCutOffByTheEndOfTheConnection) {
@@ -96,7 +96,7 @@
 TEST_F(ResponseReaderTest, TheStatusTellsTheOutcome) {
   const auto outcomeOf = [&](const std::string& status, const std::string& fields) {
     reader.begin();
-    EXPECT_EQ(feed("HTTP/1.1 " + status + "\r\n" + fields + "Content-Length: 0\r\n\r\n"), State::whole);
+    EXPECT_EQ(feed("HTTP/1.1 " + status + "\r\n" + fields + "Content-Length: 0\r\n\r\n"), State::complete);
     return reader.outcome();
   };
   EXPECT_EQ(outcomeOf("200 OK", ""), Outcome::served);
@@ -122,32 +122,32 @@
 }
 
 TEST_F(ResponseReaderTest, ALargeBodyIsPassedOnFromWhereItWasHeld) {
-  const std::string body(kHeldAnswer + 1, 'b');
+  const std::string body(kMaxBufferedResponseBytes + 1, 'b');
   EXPECT_EQ(feed("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size() + 4) + "\r\n\r\n" + body),
             State::incomplete);
-  ASSERT_TRUE(reader.holdsTooMuch());
+  ASSERT_TRUE(reader.exceedsBuffer());
   const auto stream = std::make_shared<BodyStream>(1024);
-  const Message begun = reader.passOnTo(stream);
+  const Message begun = reader.streamTo(stream);
   EXPECT_EQ(begun.body, body);
   EXPECT_EQ(begun.length, body.size() + 4);
   EXPECT_EQ(begun.rest, stream);
-  EXPECT_FALSE(reader.holdsTooMuch());
-  EXPECT_EQ(feed("rest"), State::whole);
+  EXPECT_FALSE(reader.exceedsBuffer());
+  EXPECT_EQ(feed("rest"), State::complete);
   EXPECT_EQ(stream->take(), "rest");
   EXPECT_EQ(reader.takeStream(), stream);
-  EXPECT_FALSE(reader.passesOn());
+  EXPECT_FALSE(reader.isStreaming());
 }
 
 // The client disconnects while its answer is being read, and that ends the attempt from within the reader.
 TEST_F(ResponseReaderTest, AConsumerThatEndsTheAttemptFromWithinStopsTheReading) {
-  const std::string body(kHeldAnswer + 1, 'b');
+  const std::string body(kMaxBufferedResponseBytes + 1, 'b');
   feed("HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n" + body);
   auto stream = std::make_shared<BodyStream>(1024);
   stream->onChange = [&] {
     reader.takeStream();
     reader.clear();
   };
-  reader.passOnTo(std::move(stream));
+  reader.streamTo(std::move(stream));
   EXPECT_EQ(feed("more"), State::abandoned);
 }
 
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -59,17 +59,17 @@
     requests.clear();
     empty = false;
     server = std::make_unique<HttpServer>(
-        io, Listen{loopback()}, limits,
+        io, ListenOptions{loopback()}, limits,
         HttpServer::Callbacks{[this](ClientRequest request) { requests.push_back(std::move(request)); },
                               [this](ExchangeId exchange) { left.push_back(exchange); }});
     server->onEmpty = [this] { empty = true; };
   }
   std::unique_ptr<RawClient> connect() { return std::make_unique<RawClient>(io, server->listening()); }
   void answer(std::size_t n, const std::string& body = "served") {
-    HttpAnswer answer;
-    answer.fromHost = true;
+    HttpResponse answer;
+    answer.fromEndpoint = true;
     answer.body = body;
-    server->answer(requests.at(n).exchange, std::move(answer));
+    server->respond(requests.at(n).exchange, std::move(answer));
   }
   // A client that was served once and rests.
   std::unique_ptr<RawClient> resting() {
@@ -246,10 +246,10 @@
     ASSERT_TRUE(until([&] { return requests.size() == 2; }));
     answer(1);
     ASSERT_TRUE(until([&] { return requests.size() == 3; }));
-    EXPECT_EQ(requests[1].came >= before, bytes < kRequest.size());
-    EXPECT_LE(requests[1].came, after);
-    EXPECT_GE(requests[2].came, before);
-    EXPECT_LE(requests[2].came, after);
+    EXPECT_EQ(requests[1].receivedAt >= before, bytes < kRequest.size());
+    EXPECT_LE(requests[1].receivedAt, after);
+    EXPECT_GE(requests[2].receivedAt, before);
+    EXPECT_LE(requests[2].receivedAt, after);
   }
 }
 
--- a/tests/http/upstream_test.cpp
+++ b/tests/http/upstream_test.cpp
@@ -99,14 +99,14 @@
       {"head", "HTTP/1.1 200 OK\r\n", "X: y\r\n", kHeaderLimit},
       {"line", "HTTP/1.1 200 OK\r\nX: ", "yyyy", kHeaderLimit},
       {"interim", "", "HTTP/1.1 103 X\r\n\r\n", kHeaderLimit},
-      {"body by length", "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n", "xxxx", kHeldAnswer},
-      {"body by its end", "HTTP/1.1 200 OK\r\n\r\n", "xxxx", kHeldAnswer},
-      {"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "4\r\nxxxx\r\n", 2 * kHeldAnswer},
-      {"chunk head", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;", "xxxx", 2 * kHeldAnswer},
+      {"body by length", "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n", "xxxx", kMaxBufferedResponseBytes},
+      {"body by its end", "HTTP/1.1 200 OK\r\n\r\n", "xxxx", kMaxBufferedResponseBytes},
+      {"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "4\r\nxxxx\r\n", 2 * kMaxBufferedResponseBytes},
+      {"chunk head", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;", "xxxx", 2 * kMaxBufferedResponseBytes},
       {"trailers", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n", "X: y\r\n",
-       2 * kHeldAnswer},
+       2 * kMaxBufferedResponseBytes},
       {"trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\nX: ", "yyyy",
-       2 * kHeldAnswer}};
+       2 * kMaxBufferedResponseBytes}};
   for (const Endless& answer : all) {
     SCOPED_TRACE(answer.name);
     std::string more;
