--- a/tests/gateway_waits.hpp
+++ b/tests/gateway_waits.hpp
@@ -1,5 +1,5 @@
-// The gateway's waits in tests: watches on discovery that wait as long as the scripts of net_peers.hpp take
-// for a wait, and longer than any test lasts.
+// Timeouts of the gateway for tests. Discovery watches wait for 20 s: FakeDiscovery (net_peers.hpp)
+// recognises a watch by this value.
 #pragma once
 
 #include <chrono>
--- a/tests/http/large_test.cpp
+++ b/tests/http/large_test.cpp
@@ -1,5 +1,5 @@
-// Large bodies, slow peers and the forms of HTTP/1.1, over sockets: what is passed on while it comes, what is
-// held, and what a client can tell of an answer that broke.
+// Large bodies, slow peers and the framings of HTTP/1.1 through a gateway, over sockets: which responses are
+// streamed, which are buffered, and how a client detects a truncated response.
 #include <algorithm>
 #include <memory>
 
@@ -10,7 +10,7 @@
 namespace cairnjunction::testing {
 namespace {
 
-constexpr std::size_t kLarge = 3 << 20;
+constexpr std::size_t kLargeBytes = 3 << 20;
 
 std::string pattern(std::size_t size) {
   std::string text(size, 'x');
@@ -18,7 +18,7 @@
   return text;
 }
 
-// A client that takes what comes only when told to.
+// A client that reads only when take() is called.
 class RawClient {
  public:
   RawClient(asio::io_context& io, const tcp::endpoint& to) : socket_(io) {
@@ -28,25 +28,25 @@
     socket_.non_blocking(true);
   }
   void send(const std::string& text) { asio::write(socket_, asio::buffer(text)); }
-  void take() {  // all that is there
+  void take() {  // reads all available bytes
     std::array<char, 65536> piece;
-    while (!over) {
+    while (!ended) {
       error_code ec;
       const std::size_t n = socket_.read_some(asio::buffer(piece), ec);
       got.append(piece.data(), n);
       if (ec == asio::error::would_block) return;
-      if (ec) over = true, reset = ec != asio::error::eof;
+      if (ec) ended = true, reset = ec != asio::error::eof;
     }
   }
   void close() { socket_.close(); }
-  std::size_t bodySize() const {  // without a copy: asked at each turn of the loop
+  std::size_t bodySize() const {  // without a copy, since it is called in each turn of the event loop
     const std::size_t head = got.find("\r\n\r\n");
     return head == std::string::npos ? 0 : got.size() - head - 4;
   }
   std::string body() const { return got.substr(std::min(got.find("\r\n\r\n") + 4, got.size())); }
 
   std::string got;
-  bool over = false, reset = false;
+  bool ended = false, reset = false;
 
  private:
   tcp::socket socket_;
@@ -55,15 +55,15 @@
 class LargeTest : public LoopTest {
  protected:
   FakeDiscovery discovery{io};
-  std::vector<std::unique_ptr<Peer>> hosts;
+  std::vector<std::unique_ptr<Peer>> endpoints;
   json config = configJson();
   Gateway::Waits waits = longWatches();
   std::unique_ptr<Gateway> gateway;
 
   void start(PeerConnection::Script script, int count = 1) {
     for (int i = 0; i < count; ++i) {
-      hosts.push_back(std::make_unique<Peer>(io, script));
-      discovery.list.push_back(target("s-" + std::to_string(i), hosts.back()->endpoint));
+      endpoints.push_back(std::make_unique<Peer>(io, script));
+      discovery.list.push_back(target("s-" + std::to_string(i), endpoints.back()->endpoint));
     }
     config["discovery"] = textOf(discovery.peer.endpoint);
     config["known"] = {{"rev", 1}, {"all", true}, {"targets", discovery.list}};
@@ -72,11 +72,11 @@
   }
   std::size_t requests() const {
     std::size_t all = 0;
-    for (const auto& host : hosts) all += host->requests.size();
+    for (const auto& peer : endpoints) all += peer->requests.size();
     return all;
   }
   RawClient client() { return RawClient(io, gateway->listening()); }
-  // What a client has once `done`, taking all that comes.
+  // Runs the event loop and reads all input of the client until done() returns true.
   template <class Done>
   ::testing::AssertionResult takeUntil(RawClient& c, Done done) {
     return until([&] {
@@ -89,24 +89,24 @@
 
 const std::string kGet = "GET /read HTTP/1.1\r\nHost: x\r\nX-Request-Id: r1\r\n\r\n";
 
-TEST_F(LargeTest, AnAnswerWithALengthIsPassedOnWholeAndBothConnectionsGoOn) {
-  const std::string large = pattern(kLarge);
+TEST_F(LargeTest, ResponseWithALengthIsStreamedAndBothConnectionsAreReused) {
+  const std::string large = pattern(kLargeBytes);
   start([&](PeerConnection& c) { c.reply(answerText(200, "Content-Type: a/b\r\n", large)); });
   auto c = client();
   for (int i = 1; i <= 2; ++i) {
     c.got.clear();
     c.send("GET /read HTTP/1.1\r\nHost: x\r\nX-Request-Id: r" + std::to_string(i) + "\r\n\r\n");
-    ASSERT_TRUE(takeUntil(c, [&] { return c.bodySize() >= kLarge; }));
-    EXPECT_NE(c.got.find("Content-Length: " + std::to_string(kLarge)), std::string::npos);
+    ASSERT_TRUE(takeUntil(c, [&] { return c.bodySize() >= kLargeBytes; }));
+    EXPECT_NE(c.got.find("Content-Length: " + std::to_string(kLargeBytes)), std::string::npos);
     EXPECT_NE(c.got.find("Content-Type: a/b"), std::string::npos);
     EXPECT_TRUE(c.body() == large);
   }
-  EXPECT_EQ(hosts[0]->connections.size(), 1u) << "kept behind a whole answer";
+  EXPECT_EQ(endpoints[0]->connections.size(), 1u) << "reused after a complete response";
   EXPECT_EQ(served(), 2u);
   EXPECT_EQ(gateway->openRequests(), 0u);
 }
 
-TEST_F(LargeTest, ChunksAndAnEndByClosingComeToTheClientInChunks) {
+TEST_F(LargeTest, ChunkedAndUnframedResponsesAreStreamedInChunks) {
   const std::string large = pattern(200'000);
   bool chunks = true;
   start([&](PeerConnection& c) {
@@ -124,13 +124,12 @@
     ASSERT_TRUE(until([&] { return !c->answers.empty(); }));
     EXPECT_TRUE(c->answers[0].body() == large) << chunks;
     EXPECT_TRUE(c->answers[0].chunked());
-    EXPECT_EQ(c->answers[0].count("X-Late"), 0u)
-        << "what stands behind the last chunk is no field of the head";
+    EXPECT_EQ(c->answers[0].count("X-Late"), 0u) << "a trailer field is no field of the head";
   }
   EXPECT_EQ(served(), 2u);
 }
 
-TEST_F(LargeTest, ASmallAnswerThatEndsWithItsConnectionIsServedWithALength) {
+TEST_F(LargeTest, SmallUnframedResponseIsServedWithALength) {
   start([](PeerConnection& c) { c.reply("HTTP/1.1 200 OK\r\n\r\nwhole", true); });
   auto c = Client::connect(io, gateway->listening());
   c->send(kGet);
@@ -139,7 +138,7 @@
   EXPECT_FALSE(c->answers[0].chunked());
 }
 
-TEST_F(LargeTest, AClientThatTakesNothingIsNotReadAheadOf) {
+TEST_F(LargeTest, ResponseIsNotReadAheadOfAClientThatStopsReading) {
   const std::string large = pattern(16 << 20);
   bool sent = false;
   start([&](PeerConnection& c) {
@@ -149,16 +148,16 @@
   auto c = client();
   c.send(kGet);
   ASSERT_TRUE(until([&] { return requests() == 1; }));
-  // The kernel's buffers fill up, and then nobody moves: the host can't get rid of the rest.
+  // Once the kernel's buffers are full, the endpoint can't write the rest.
   const std::size_t before = gateway->connections();
   for (int i = 0; i < 200; ++i) io.run_one_for(std::chrono::milliseconds(5));
-  EXPECT_FALSE(sent) << "16 MiB lie neither in the gateway nor in buffers";
+  EXPECT_FALSE(sent) << "16 MiB must not fit into the gateway and the kernel's buffers";
   EXPECT_EQ(gateway->connections(), before);
   ASSERT_TRUE(takeUntil(c, [&] { return c.bodySize() >= large.size(); }));
   EXPECT_TRUE(c.body() == large);
 }
 
-TEST_F(LargeTest, OneThatBreaksIsNotTriedAgainAndTheClientCanTell) {
+TEST_F(LargeTest, BrokenStreamedResponseIsNotRetriedAndIsDetectable) {
   const std::string half = pattern(300'000);
   int form = 0;
   start(
@@ -176,8 +175,8 @@
     const std::size_t before = requests();
     auto c = client();
     c.send("GET /read HTTP/1.1\r\nHost: x\r\nX-Request-Id: r" + std::to_string(form) + "\r\n\r\n");
-    ASSERT_TRUE(takeUntil(c, [&] { return c.over; }));
-    EXPECT_EQ(requests(), before + 1) << "its client has had a part of it";
+    ASSERT_TRUE(takeUntil(c, [&] { return c.ended; }));
+    EXPECT_EQ(requests(), before + 1) << "no retry, since the client has received a part of the response";
     if (c.got.find("Content-Length") != std::string::npos) EXPECT_LT(c.bodySize(), 400000u);
     else EXPECT_EQ(c.got.find("\r\n0\r\n\r\n"), std::string::npos) << "no last chunk";
   }
@@ -186,7 +185,7 @@
   EXPECT_EQ(gateway->openRequests(), 0u);
 }
 
-TEST_F(LargeTest, AnOldClientIsEndedByTheConnectionAndByAResetIfItBroke) {
+TEST_F(LargeTest, Http10ResponseEndsWithACloseOrWithAResetIfItBroke) {
   const std::string large = pattern(200'000);
   bool broken = false;
   start([&](PeerConnection& c) {
@@ -199,14 +198,14 @@
     broken = now;
     auto c = client();
     c.send("GET /read HTTP/1.0\r\nX-Request-Id: r" + std::to_string(now) + "\r\n\r\n");
-    ASSERT_TRUE(takeUntil(c, [&] { return c.over; }));
+    ASSERT_TRUE(takeUntil(c, [&] { return c.ended; }));
     EXPECT_EQ(c.reset, broken);
     EXPECT_EQ(c.got.find("chunked"), std::string::npos);
     if (!broken) EXPECT_TRUE(c.body() == large);
   }
 }
 
-TEST_F(LargeTest, AClientThatLeavesEndsTheHostsWork) {
+TEST_F(LargeTest, DisconnectOfTheClientEndsTheStreamedResponse) {
   const std::string large = pattern(16 << 20);
   start([&](PeerConnection& c) { c.reply(answerText(200, "", large)); });
   auto c = client();
@@ -216,17 +215,17 @@
   ASSERT_TRUE(until([&] { return gateway->openRequests() == 0 && gateway->connections() == 0; }));
 }
 
-TEST_F(LargeTest, AHostThatIsForgottenWhileItsAnswerIsPassedOnDisturbsNoOther) {
+TEST_F(LargeTest, RemovingAStreamingEndpointDoesNotAffectTheNextWithItsId) {
   const std::string large = pattern(8 << 20);
   start([&](PeerConnection& c) { c.reply(answerText(200, "", large)); });
   auto c = client();
   c.send(kGet);
   ASSERT_TRUE(takeUntil(c, [&] { return !c.got.empty(); }));
-  // Its id goes to the next host.
+  // The next endpoint gets its id.
   Peer other(io, [](PeerConnection& p) { p.reply(answerText(200, "", "other")); });
   const auto ready = [&] { return !discovery.held.empty(); };
   ASSERT_TRUE(until(ready));
-  json gone = target("s-0", hosts[0]->endpoint);
+  json gone = target("s-0", endpoints[0]->endpoint);
   gone["state"] = "DELETED";
   discovery.push({{"all", false}, {"targets", {gone}}});
   ASSERT_TRUE(until(ready));
@@ -241,18 +240,18 @@
   ASSERT_TRUE(until([&] { return gateway->openRequests() == 0; }));
   const auto id = gateway->engine().findEndpoint("s-9");
   EXPECT_EQ(gateway->engine().loadBalancer().openConnections(id), 1u)
-      << "its own, and none of the one before it";
+      << "its own connection, none of the endpoint that had the id before";
 }
 
 // --- Requests -------------------------------------------------------------------------------------------
 
-TEST_F(LargeTest, ALargeRequestGoesOnWholeAndAgainWhenItIsTurnedAway) {
+TEST_F(LargeTest, LargeRequestIsForwardedWholeAndRetriedWhenRejected) {
   const std::string large = pattern(800'000);  // the peer reads up to 1 MiB
-  std::size_t tries = 0;
+  std::size_t attempts = 0;
   start(
       [&](PeerConnection& c) {
         EXPECT_TRUE(c.request.body() == large);
-        if (++tries == 1) c.reply(answerText(503, "X-Not-Run: 1\r\n", ""));
+        if (++attempts == 1) c.reply(answerText(503, "X-Not-Run: 1\r\n", ""));
         else c.reply(answerText(200, "", "ok"));
       },
       2);
@@ -261,10 +260,10 @@
           std::to_string(large.size()) + "\r\n\r\n" + large);
   ASSERT_TRUE(until([&] { return !c->answers.empty(); }));
   EXPECT_EQ(c->answers[0].result_int(), 200u);
-  EXPECT_EQ(tries, 2u);
+  EXPECT_EQ(attempts, 2u);
 }
 
-TEST_F(LargeTest, ChunksWithExtensionsAndTrailersAreOneBody) {
+TEST_F(LargeTest, ChunkedRequestWithExtensionsAndTrailersIsOneBody) {
   start([](PeerConnection& c) { c.reply(answerText(200, "", "ok")); });
   auto c = Client::connect(io, gateway->listening());
   c->send(
@@ -272,13 +271,13 @@
       "3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nX-Request-Id: r2\r\nX-Late: 1\r\n\r\n");
   ASSERT_TRUE(until([&] { return !c->answers.empty(); }));
   EXPECT_EQ(c->answers[0].result_int(), 200u);
-  const Request& sent = hosts[0]->requests.at(0);
+  const Request& sent = endpoints[0]->requests.at(0);
   EXPECT_EQ(sent.body(), "abcde");
-  EXPECT_EQ(sent["X-Request-Id"], "r1") << "a field behind the body is none of the head's";
+  EXPECT_EQ(sent["X-Request-Id"], "r1") << "a trailer field is no field of the head";
   EXPECT_EQ(sent.count("X-Late"), 0u);
 }
 
-TEST_F(LargeTest, AClientThatWaitsToBeToldToGoOnIsTold) {
+TEST_F(LargeTest, ExpectContinueIsAnswered) {
   start([](PeerConnection& c) { c.reply(answerText(200, "", "ok")); });
   auto c = client();
   c.send(
@@ -287,24 +286,24 @@
   ASSERT_TRUE(takeUntil(c, [&] { return c.got == "HTTP/1.1 100 Continue\r\n\r\n"; }));
   c.send("abc");
   ASSERT_TRUE(takeUntil(c, [&] { return c.got.find("200 OK") != std::string::npos; }));
-  EXPECT_EQ(hosts[0]->requests.at(0).body(), "abc");
-  EXPECT_EQ(hosts[0]->requests.at(0).count("Expect"), 0u);
+  EXPECT_EQ(endpoints[0]->requests.at(0).body(), "abc");
+  EXPECT_EQ(endpoints[0]->requests.at(0).count("Expect"), 0u);
 }
 
-TEST_F(LargeTest, ABodyThatGoesOnMayTakeLongerThanAHead) {
+TEST_F(LargeTest, BodyWithProgressMayTakeLongerThanTheTimeout) {
   waits.clients.slow = std::chrono::seconds(4);
   start([](PeerConnection& c) { c.reply(answerText(200, "", "ok")); });
   auto c = client();
   c.send("POST /write HTTP/1.1\r\nHost: x\r\nX-Request-Id: r1\r\nContent-Length: 120000\r\n\r\n");
   for (int piece = 0; piece < 3; ++piece) {
-    io.run_for(std::chrono::seconds(2));  // six seconds in all, and never four without a word
+    io.run_for(std::chrono::seconds(2));  // six seconds in all, but never four without input
     c.send(std::string(40'000, 'x'));
   }
-  ASSERT_TRUE(takeUntil(c, [&] { return !c.got.empty() || c.over; }));
+  ASSERT_TRUE(takeUntil(c, [&] { return !c.got.empty() || c.ended; }));
   EXPECT_EQ(c.got.find("HTTP/1.1 200"), 0u) << c.got;
 }
 
-TEST_F(LargeTest, ABodyThatFallsBehindItsPaceOrStandsStillIsEnded) {
+TEST_F(LargeTest, BodyThatIsTooSlowOrStalledIsRejected) {
   waits.clients.slow = std::chrono::milliseconds(100);
   waits.clients.minBodyRate = 1 << 30;
   start([](PeerConnection& c) { c.reply(answerText(200, "", "ok")); });
@@ -316,7 +315,7 @@
   ASSERT_TRUE(until([&] {
     slow.take();
     still.take();
-    if (slow.over || !slow.got.empty()) return still.over || !still.got.empty();
+    if (slow.ended || !slow.got.empty()) return still.ended || !still.got.empty();
     slow.send("x");
     return false;
   }));
@@ -324,13 +323,13 @@
   auto large = client();
   large.send(head + "large\r\n\r\n");
   ASSERT_TRUE(takeUntil(large, [&] { return !large.got.empty(); }));
-  EXPECT_EQ(large.got.find("HTTP/1.1 413"), 0u) << "told by its head alone";
+  EXPECT_EQ(large.got.find("HTTP/1.1 413"), 0u) << "rejected by its head alone";
   EXPECT_EQ(requests(), 0u);
 }
 
-// --- The stream between them ----------------------------------------------------------------------------
+// --- BodyStream ----------------------------------------------------------------------------
 
-TEST(BodyStream, TellsOfRoomOfBytesAndOfItsEndOnce) {
+TEST(BodyStream, NotifiesOfCapacityBytesAndItsEndOnce) {
   BodyStream stream(10);
   int changes = 0, rooms = 0, leaves = 0;
   stream.onChange = [&] { ++changes; };
@@ -342,13 +341,13 @@
   EXPECT_EQ(stream.take(), "0123456789ab");
   EXPECT_EQ(rooms, 1);
   EXPECT_EQ(stream.take(), "");
-  EXPECT_EQ(rooms, 1) << "there was room before";
+  EXPECT_EQ(rooms, 1) << "it was not full before";
   stream.finish();
   stream.fail();
-  EXPECT_EQ(stream.state(), BodyStream::State::whole) << "the first end is the one";
+  EXPECT_EQ(stream.state(), BodyStream::State::whole) << "only the first end counts";
   EXPECT_EQ(changes, 2);
   stream.leave();
-  EXPECT_EQ(leaves, 0) << "its producer is done";
+  EXPECT_EQ(leaves, 0) << "the producer has finished";
   BodyStream left(10);
   left.onLeft = [&] { ++leaves; };
   left.leave();
--- a/tests/http/request_writer_test.cpp
+++ b/tests/http/request_writer_test.cpp
@@ -1,3 +1,4 @@
+// RequestWriter over a real connection: small and large requests, and a broken connection.
 #include "http/request_writer.hpp"
 
 #include <gtest/gtest.h>
@@ -31,14 +32,14 @@
     call.message.verb = "POST";
     call.message.target = "/work";
   }
-  std::string receive(std::size_t atMost) {
-    std::string bytes(atMost, '\0');
+  std::string receive(std::size_t maxBytes) {
+    std::string bytes(maxBytes, '\0');
     bytes.resize(peer.read_some(boost::asio::buffer(bytes)));
     return bytes;
   }
 };
 
-TEST_F(RequestWriterTest, ASmallRequestIsWrittenAtOnce) {
+TEST_F(RequestWriterTest, SmallRequestIsWrittenAtOnce) {
   call.message.body = "text";
   writer.begin(call, acceptor.local_endpoint(), 250ms);
   EXPECT_EQ(writer.write(socket), Result::written);
@@ -48,8 +49,8 @@
   EXPECT_EQ(text.substr(text.size() - 8), "\r\n\r\ntext");
 }
 
-// An endpoint that reads slowly: the request goes on where it stopped, and no byte is lost or sent twice.
-TEST_F(RequestWriterTest, ALargeRequestGoesOnWhereTheSocketTookNoMore) {
+// With an endpoint that reads slowly, writing resumes where it stopped: no byte is lost or sent twice.
+TEST_F(RequestWriterTest, LargeRequestResumesAfterTheSocketWasBlocked) {
   call.message.body.resize(16 << 20);
   for (std::size_t i = 0; i < call.message.body.size(); ++i)
     call.message.body[i] = static_cast<char>('a' + i / 7 % 26);
@@ -73,7 +74,7 @@
   EXPECT_TRUE(received.substr(bodyBegin) == call.message.body);
 }
 
-TEST_F(RequestWriterTest, ABrokenConnectionFailsTheRequest) {
+TEST_F(RequestWriterTest, WriteFailsOnABrokenConnection) {
   socket.close();
   writer.begin(call, acceptor.local_endpoint(), 250ms);
   EXPECT_EQ(writer.write(socket), Result::failed);
--- a/tests/http/response_reader_test.cpp
+++ b/tests/http/response_reader_test.cpp
@@ -1,4 +1,4 @@
-// The reader alone, over bytes that are split at every place.
+// ResponseReader without a connection: framing, limits, outcomes and streaming.
 #include "http/response_reader.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
   ResponseReader reader;
 
   ResponseReaderTest() { reader.begin(); }
-  // Reads bytes as they come from a connection; the state after the last ones.
+  // Feeds the bytes to the reader in reads of at most prepare() bytes; returns the last state.
   State feed(std::string_view bytes) {
     State state = State::incomplete;
     while (!bytes.empty() && state == State::incomplete) {
@@ -37,13 +37,13 @@
   }
 };
 
-constexpr std::string_view kWhole = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
+constexpr std::string_view kResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody";
 
-TEST_F(ResponseReaderTest, AnAnswerIsReadWhereverItsBytesAreSplit) {
-  for (std::size_t cut = 1; cut < kWhole.size(); ++cut) {
+TEST_F(ResponseReaderTest, ResponseIsParsedWhereverItsBytesAreSplit) {
+  for (std::size_t cut = 1; cut < kResponse.size(); ++cut) {
     reader.begin();
-    EXPECT_EQ(feed(kWhole.substr(0, cut)), State::incomplete) << cut;
-    EXPECT_EQ(feed(kWhole.substr(cut)), State::complete) << cut;
+    EXPECT_EQ(feed(kResponse.substr(0, cut)), State::incomplete) << cut;
+    EXPECT_EQ(feed(kResponse.substr(cut)), State::complete) << cut;
     EXPECT_EQ(reader.outcome(), Outcome::served);
     EXPECT_TRUE(reader.mayReuseConnection());
     EXPECT_EQ(bufferedBody(), "body");
@@ -51,49 +51,49 @@
   }
 }
 
-// What comes behind an answer would be taken for the answer to the next request.
-TEST_F(ResponseReaderTest, AConnectionWithBytesBehindTheAnswerIsNotUsedAgain) {
-  EXPECT_EQ(feed(std::string(kWhole) + "H"), State::complete);
+// Bytes after a response would be taken for the response to the next request.
+TEST_F(ResponseReaderTest, ConnectionWithBytesAfterTheResponseIsNotReused) {
+  EXPECT_EQ(feed(std::string(kResponse) + "H"), State::complete);
   EXPECT_FALSE(reader.mayReuseConnection());
 }
 
-TEST_F(ResponseReaderTest, AConnectionThatTheEndpointClosesIsNotUsedAgain) {
+TEST_F(ResponseReaderTest, ConnectionThatTheEndpointClosesIsNotReused) {
   EXPECT_EQ(feed("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"), State::complete);
   EXPECT_FALSE(reader.mayReuseConnection());
 }
 
-TEST_F(ResponseReaderTest, EightInterimAnswersArePassedOverAndNoMore) {
+TEST_F(ResponseReaderTest, EightInterimResponsesAreSkippedAndTheNinthIsMalformed) {
   std::string interim;
   for (int i = 0; i < 8; ++i) interim += "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
-  EXPECT_EQ(feed(interim + std::string(kWhole)), State::complete);
+  EXPECT_EQ(feed(interim + std::string(kResponse)), State::complete);
   EXPECT_EQ(bufferedBody(), "body");
   reader.begin();
   EXPECT_EQ(feed(interim + "HTTP/1.1 103 Early Hints\r\n\r\n"), State::malformed);
 }
 
-TEST_F(ResponseReaderTest, AChangeOfProtocolThatNobodyAskedForIsMalformed) {
+TEST_F(ResponseReaderTest, UnrequestedProtocolSwitchIsMalformed) {
   EXPECT_EQ(feed("HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"), State::malformed);
 }
 
-TEST_F(ResponseReaderTest, AnAnswerWithoutAFrameEndsWithTheConnection) {
+TEST_F(ResponseReaderTest, UnframedResponseEndsWithTheConnection) {
   EXPECT_FALSE(reader.endsWithConnection()) << "no head yet";
   EXPECT_EQ(feed("HTTP/1.1 200 OK\r\nX: y\r\n\r\nbo"), State::incomplete);
   EXPECT_TRUE(reader.endsWithConnection());
   EXPECT_EQ(bufferedBody(), "bo");
 }
 
-TEST_F(ResponseReaderTest, AFramedAnswerIsCutOffByTheEndOfTheConnection) {
-  EXPECT_EQ(feed(kWhole.substr(0, kWhole.size() - 1)), State::incomplete);
+TEST_F(ResponseReaderTest, FramedResponseIsTruncatedByTheEndOfTheConnection) {
+  EXPECT_EQ(feed(kResponse.substr(0, kResponse.size() - 1)), State::incomplete);
   EXPECT_FALSE(reader.endsWithConnection());
 }
 
-// An endpoint denies a call and leaves the connection open: nobody waits for the end of such an answer.
-TEST_F(ResponseReaderTest, AnUnframedDenialIsDecidedByItsHead) {
+// An endpoint responds with an error and leaves the connection open: the reader must not wait for its end.
+TEST_F(ResponseReaderTest, UnframedErrorResponseIsDecidedByItsHead) {
   EXPECT_EQ(feed("HTTP/1.1 500 No\r\nX: y\r\n\r\n"), State::decidedByHead);
   EXPECT_EQ(reader.outcome(), Outcome::error);
 }
 
-TEST_F(ResponseReaderTest, TheStatusTellsTheOutcome) {
+TEST_F(ResponseReaderTest, StatusDeterminesTheOutcome) {
   const auto outcomeOf = [&](const std::string& status, const std::string& fields) {
     reader.begin();
     EXPECT_EQ(feed("HTTP/1.1 " + status + "\r\n" + fields + "Content-Length: 0\r\n\r\n"), State::complete);
@@ -108,20 +108,20 @@
   EXPECT_EQ(outcomeOf("404 None", ""), Outcome::invalidRequest);
 }
 
-TEST_F(ResponseReaderTest, AHeadThatReadersCouldDisagreeOnIsMalformed) {
+TEST_F(ResponseReaderTest, AmbiguousHeadIsMalformed) {
   EXPECT_EQ(feed("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\n"), State::malformed);
 }
 
-TEST_F(ResponseReaderTest, AHeadWithoutAnEndIsMalformedOnceItIsTooLong) {
+TEST_F(ResponseReaderTest, EndlessHeadIsMalformedAboveTheHeaderLimit) {
   EXPECT_EQ(feed("HTTP/1.1 200 OK\r\nX: " + std::string(2 * kHeaderLimit, 'x')), State::malformed);
 }
 
-TEST_F(ResponseReaderTest, AnAnnouncedBodyAboveTheBoundIsMalformed) {
+TEST_F(ResponseReaderTest, ContentLengthAboveTheLimitIsMalformed) {
   EXPECT_EQ(feed("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kBodyMost + 1) + "\r\n\r\nx"),
             State::malformed);
 }
 
-TEST_F(ResponseReaderTest, ALargeBodyIsPassedOnFromWhereItWasHeld) {
+TEST_F(ResponseReaderTest, LargeBodyIsStreamedAfterItsBufferedPart) {
   const std::string body(kMaxBufferedResponseBytes + 1, 'b');
   EXPECT_EQ(feed("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size() + 4) + "\r\n\r\n" + body),
             State::incomplete);
@@ -138,8 +138,9 @@
   EXPECT_FALSE(reader.isStreaming());
 }
 
-// The client disconnects while its answer is being read, and that ends the attempt from within the reader.
-TEST_F(ResponseReaderTest, AConsumerThatEndsTheAttemptFromWithinStopsTheReading) {
+// The client disconnects while its response is being read: the consumer of the stream then clears the reader
+// from inside read().
+TEST_F(ResponseReaderTest, ReadingStopsWhenTheStreamConsumerClearsTheReader) {
   const std::string body(kMaxBufferedResponseBytes + 1, 'b');
   feed("HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n" + body);
   auto stream = std::make_shared<BodyStream>(1024);
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -1,6 +1,5 @@
-// The server of clients' connections by itself, in a stop: what comes to a connection in the moment in which
-// it is closed. The crossing is forced: the test's clients write, and the server is told to stop, between two
-// turns of the event loop.
+// HttpServer in a graceful shutdown: bytes that arrive at a connection while it is being closed. The race is
+// forced: between two turns of the event loop the clients of the test write and the server is stopped.
 #include "http/server.hpp"
 
 #include <gtest/gtest.h>
@@ -18,11 +17,11 @@
 
 const std::string kRequest = "GET /read HTTP/1.1\r\nHost: x\r\nX-Request-Id: r1\r\n\r\n";
 
-// A client that reads what comes, and writes at once.
+// A client with synchronous writes and non-blocking reads.
 struct RawClient {
   RawClient(asio::io_context& io, const tcp::endpoint& to) : socket(io) { socket.connect(to); }
   void send(const std::string& bytes) { asio::write(socket, asio::buffer(bytes)); }
-  // What has come so far; `ended` once the server has closed.
+  // All bytes received so far; sets `ended` once the server has closed the connection.
   const std::string& read() {
     socket.non_blocking(true);
     std::array<char, 4096> piece;
@@ -32,7 +31,7 @@
     reset = ended && ec != asio::error::eof;
     return text;
   }
-  // All that was sent has come to the other side's system.
+  // Whether the server's kernel has acknowledged all bytes sent.
   bool delivered() {
     int left = 0;
     return ::ioctl(socket.native_handle(), SIOCOUTQ, &left) == 0 && left == 0;
@@ -44,13 +43,13 @@
 
 class ServerTest : public LoopTest {
  protected:
-  HttpServer::Limits limits = lasting();
+  HttpServer::Limits limits = longTimeouts();
   std::vector<ClientRequest> requests;
-  std::vector<ExchangeId> left;
+  std::vector<ExchangeId> disconnected;
   bool empty = false;
   std::unique_ptr<HttpServer> server;
 
-  static HttpServer::Limits lasting() {  // nothing ends by its time
+  static HttpServer::Limits longTimeouts() {  // timeouts longer than any test
     HttpServer::Limits limits;
     limits.slow = limits.idle = 600s;
     return limits;
@@ -61,23 +60,23 @@
     server = std::make_unique<HttpServer>(
         io, ListenOptions{loopback()}, limits,
         HttpServer::Callbacks{[this](ClientRequest request) { requests.push_back(std::move(request)); },
-                              [this](ExchangeId exchange) { left.push_back(exchange); }});
+                              [this](ExchangeId exchange) { disconnected.push_back(exchange); }});
     server->onEmpty = [this] { empty = true; };
   }
   std::unique_ptr<RawClient> connect() { return std::make_unique<RawClient>(io, server->listening()); }
-  void answer(std::size_t n, const std::string& body = "served") {
-    HttpResponse answer;
-    answer.fromEndpoint = true;
-    answer.body = body;
-    server->respond(requests.at(n).exchange, std::move(answer));
+  void respond(std::size_t n, const std::string& body = "served") {
+    HttpResponse response;
+    response.fromEndpoint = true;
+    response.body = body;
+    server->respond(requests.at(n).exchange, std::move(response));
   }
-  // A client that was served once and rests.
-  std::unique_ptr<RawClient> resting() {
+  // A client with an idle keep-alive connection, on which one request was served.
+  std::unique_ptr<RawClient> idleClient() {
     auto client = connect();
     const std::size_t before = requests.size();
     client->send(kRequest);
     EXPECT_TRUE(until([&] { return requests.size() == before + 1; }));
-    answer(before, "first");
+    respond(before, "first");
     EXPECT_TRUE(until([&] { return client->read().find("first") != std::string::npos; }));
     for (int i = 0; i < 20; ++i) io.poll();
     client->text.clear();
@@ -86,14 +85,15 @@
   }
 };
 
-// A request crosses the stop, so many of its bytes before it and the others after: while a byte of it was
-// there it is served, and for the last time; with none it was never taken, and the client sees the end.
-TEST_F(ServerTest, ARequestThatCrossesTheStopIsServedOrNeverTaken) {
+// `bytes` of a request are sent before the shutdown and the others after it. If at least one byte was sent
+// before, the request is served and the connection closed; with none, it is never handed over and the client
+// sees the connection close.
+TEST_F(ServerTest, RequestSplitByAShutdownIsServedOrNeverHandedOver) {
   for (const bool first : {true, false})
     for (std::size_t bytes = 0; bytes <= kRequest.size(); ++bytes) {
-      SCOPED_TRACE(std::string(first ? "fresh " : "resting ") + std::to_string(bytes));
+      SCOPED_TRACE(std::string(first ? "fresh " : "idle ") + std::to_string(bytes));
       start();
-      auto client = first ? connect() : resting();
+      auto client = first ? connect() : idleClient();
       if (first) ASSERT_TRUE(until([&] { return server->connections() == 1; }));
       if (bytes > 0) client->send(kRequest.substr(0, bytes));
       server->lastAnswers();
@@ -105,7 +105,7 @@
       }
       client->send(kRequest.substr(bytes));
       ASSERT_TRUE(until([&] { return requests.size() == 1; }));
-      answer(0);
+      respond(0);
       ASSERT_TRUE(until([&] { return client->read(), client->ended; }));
       EXPECT_NE(client->text.find("served"), std::string::npos);
       EXPECT_NE(client->text.find("Connection: close"), std::string::npos);
@@ -115,24 +115,25 @@
     }
 }
 
-// Its answer, which says that the connection stays, is on its way when resting connections are closed.
-TEST_F(ServerTest, AnAnswerThatIsOnItsWayInTheStopLeavesNoConnectionBehind) {
+// A response without `Connection: close` is being written when the idle connections are closed. The
+// connection must be closed afterwards, or the shutdown would not end.
+TEST_F(ServerTest, ConnectionIsClosedAfterAResponseWrittenDuringShutdown) {
   for (const bool more : {false, true}) {
     SCOPED_TRACE(more);
     start();
     auto client = connect();
     client->send(kRequest);
     ASSERT_TRUE(until([&] { return requests.size() == 1; }));
-    answer(0, std::string(16 << 20, 'x'));  // more than fits: it is being written
+    respond(0, std::string(16 << 20, 'x'));  // exceeds the socket buffers, so writing is not finished
     server->lastAnswers();
     server->stopAccepting();
     EXPECT_EQ(server->connections(), 1u);
-    if (more) client->send(kRequest);  // it relied on what it was told
+    if (more) client->send(kRequest);  // allowed, since the response did not say `Connection: close`
     ASSERT_TRUE(until([&] { return client->read().size() > 16u << 20; }));
     EXPECT_EQ(client->text.find("Connection: close"), std::string::npos);
     if (more) {
       ASSERT_TRUE(until([&] { return requests.size() == 2; }));
-      answer(1, "the second");
+      respond(1, "the second");
       ASSERT_TRUE(until([&] { return client->read().find("the second") != std::string::npos; }));
     }
     ASSERT_TRUE(until([&] { return client->read(), client->ended; }));
@@ -142,10 +143,10 @@
   }
 }
 
-// Bytes that come behind the last answer are read out, so that it is not reset away, and never handed over:
-// once the answer is given, and after the client has seen it; also before, where they are too many to be
-// kept.
-TEST_F(ServerTest, WhatComesBehindTheLastAnswerIsNeverHandedOver) {
+// Bytes that arrive after the last response are read, so that no reset discards the response, and never
+// handed over. Moment 1: right after the response is given; 2: after the client has read it; 0: before it,
+// with more bytes than the server buffers.
+TEST_F(ServerTest, BytesAfterTheLastResponseAreNeverHandedOver) {
   const std::string tooMany(100000, 'x');
   for (const std::string& behind : {std::string("x"), kRequest, kRequest + kRequest, tooMany})
     for (int moment = behind == tooMany ? 0 : 1; moment < 3; ++moment) {
@@ -158,9 +159,9 @@
       if (moment == 0) {
         client->send(behind);
         ASSERT_TRUE(until([&] { return client->delivered(); }));
-        for (int i = 0; i < 100; ++i) io.poll();  // read, and dropped
+        for (int i = 0; i < 100; ++i) io.poll();  // the server reads and drops the bytes
       }
-      answer(0);
+      respond(0);
       if (moment == 1) client->send(behind);
       if (moment == 2) {
         ASSERT_TRUE(until([&] { return client->read(), client->ended; }));
@@ -176,10 +177,10 @@
     }
 }
 
-// A request of which any byte came before the answer to the one ahead of it was taken: each is answered, and
-// the last answer ends the connection. Read already or not, and whether or not resting connections are
-// closed.
-TEST_F(ServerTest, RequestsThatCameBeforeTheLastAnswerAreServedInAStop) {
+// Each request of which a byte has arrived before the response to the previous one is served, and the
+// connection is closed after the last response. This holds whether or not the server has read the bytes, and
+// whether or not idle connections are closed.
+TEST_F(ServerTest, RequestsReceivedBeforeTheLastResponseAreServedInAShutdown) {
   const std::string two = kRequest + kRequest;
   for (const bool read : {true, false})
     for (const bool closing : {true, false})
@@ -195,18 +196,18 @@
         while (!client->delivered()) std::this_thread::yield();
         if (read)
           for (int i = 0; i < 10; ++i) io.poll();
-        answer(0, "first");
+        respond(0, "first");
         client->send(two.substr(bytes));
         ASSERT_TRUE(until([&] { return requests.size() == 2; }));
-        answer(1, "second");
-        // The third, if any of it had come by now.
+        respond(1, "second");
+        // The third request is served if any byte of it was sent by now.
         const bool third = bytes > kRequest.size();
         if (third) {
           ASSERT_TRUE(until([&] { return requests.size() == 3; }));
-          answer(2, "third");
+          respond(2, "third");
         }
         ASSERT_TRUE(until([&] { return client->read(), client->ended || requests.size() == 3; }));
-        if (requests.size() == 3 && !third) answer(2, "third");
+        if (requests.size() == 3 && !third) respond(2, "third");
         ASSERT_TRUE(until([&] { return client->read(), client->ended; }));
         EXPECT_FALSE(client->reset);
         std::size_t answers = 0, at = 0;
@@ -220,10 +221,10 @@
       }
 }
 
-// A request's time counts from its last byte, also where it waits behind others on its connection.
-TEST_F(ServerTest, ARequestThatWaitsBehindOthersCameWhenItsLastByteDid) {
+// The client timeout of a request starts at its last byte, also if it waits behind others on its connection.
+TEST_F(ServerTest, PipelinedRequestArrivesWithItsLastByte) {
   using Clock = std::chrono::steady_clock;
-  const auto later = [&] {
+  const auto waitAWhile = [&] {
     const auto from = Clock::now();
     return until([&] { return Clock::now() - from > 30ms; });
   };
@@ -234,17 +235,17 @@
     auto client = connect();
     client->send(kRequest + kRequest.substr(0, bytes));
     ASSERT_TRUE(until([&] { return requests.size() == 1; }));
-    ASSERT_TRUE(later());
+    ASSERT_TRUE(waitAWhile());
     const auto before = Clock::now();
     if (bytes < kRequest.size()) client->send(kRequest.substr(bytes));
     client->send(kRequest);
     ASSERT_TRUE(until([&] { return client->delivered(); }));
     for (int i = 0; i < 20; ++i) io.poll();
     const auto after = Clock::now();
-    ASSERT_TRUE(later());
-    answer(0);
+    ASSERT_TRUE(waitAWhile());
+    respond(0);
     ASSERT_TRUE(until([&] { return requests.size() == 2; }));
-    answer(1);
+    respond(1);
     ASSERT_TRUE(until([&] { return requests.size() == 3; }));
     EXPECT_EQ(requests[1].receivedAt >= before, bytes < kRequest.size());
     EXPECT_LE(requests[1].receivedAt, after);
@@ -253,8 +254,8 @@
   }
 }
 
-// More connections wait than the limit lets in, each with its request.
-TEST_F(ServerTest, AllThatWaitsWhenTheListenerClosesIsTaken) {
+// More connections than the limit are in the backlog, each with a request.
+TEST_F(ServerTest, AllConnectionsInTheBacklogAreAcceptedWhenTheListenerCloses) {
   limits.connections = 4;
   start();
   std::vector<std::unique_ptr<RawClient>> clients;
@@ -265,7 +266,7 @@
   server->stopListening();
   ASSERT_TRUE(until([&] { return requests.size() == 40; }));
   server->lastAnswers();
-  for (std::size_t i = 0; i < 40; ++i) answer(i);
+  for (std::size_t i = 0; i < 40; ++i) respond(i);
   for (const auto& client : clients) {
     ASSERT_TRUE(until([&] { return client->read().find("served") != std::string::npos; }));
     client->socket.close();
@@ -274,10 +275,10 @@
   EXPECT_TRUE(until([&] { return empty; }));
 }
 
-TEST_F(ServerTest, ClientsThatRestUntilTheyAreEndedAreEnded) {
+TEST_F(ServerTest, IdleConnectionsAreClosedInAShutdown) {
   start();
   std::vector<std::unique_ptr<RawClient>> clients;
-  for (int i = 0; i < 20; ++i) clients.push_back(i % 2 ? resting() : connect());
+  for (int i = 0; i < 20; ++i) clients.push_back(i % 2 ? idleClient() : connect());
   ASSERT_TRUE(until([&] { return server->connections() == 20; }));
   server->lastAnswers();
   server->stopAccepting();
@@ -288,33 +289,35 @@
   EXPECT_TRUE(until([&] { return empty; }));
 }
 
-// Its connection waited to be accepted, perhaps for long: with its end behind the request there is nobody.
-TEST_F(ServerTest, ARequestWhoseClientLeftBeforeItWasReadIsNotHandedOver) {
+// The connection may have been in the backlog for long: if the disconnect follows the request, the client is
+// gone.
+TEST_F(ServerTest, RequestOfAClientThatDisconnectedBeforeItWasReadIsNotHandedOver) {
   start();
   for (const std::string& behind : {std::string(), kRequest, std::string("GET /re")}) {
     auto client = connect();
     client->send(kRequest + behind);
     client->socket.shutdown(tcp::socket::shutdown_send);
-    while (!client->delivered()) std::this_thread::yield();  // and its end
+    while (!client->delivered()) std::this_thread::yield();  // includes the FIN
   }
   auto stays = connect();
   stays->send(kRequest);
   ASSERT_TRUE(until([&] { return !requests.empty() && server->connections() == 1; }));
-  answer(0);
+  respond(0);
   ASSERT_TRUE(until([&] { return stays->read().find("served") != std::string::npos; }));
   EXPECT_EQ(requests.size(), 1u);
-  EXPECT_TRUE(left.empty());
+  EXPECT_TRUE(disconnected.empty());
 }
 
-// While an answer is written nothing is read: what was pipelined behind its request is for nobody then.
-TEST_F(ServerTest, PipelinedRequestsOfAClientThatLeftWhileItsAnswerWasWrittenAreNotHandedOver) {
+// Nothing is read while a response is written, so a disconnect in that time is detected only afterwards: the
+// pipelined requests must not be handed over then.
+TEST_F(ServerTest, PipelinedRequestsAreNotHandedOverIfTheClientDisconnectsDuringAResponse) {
   for (const bool leaves : {true, false}) {
     SCOPED_TRACE(leaves);
     start();
     auto client = connect();
     client->send(kRequest + kRequest);
     ASSERT_TRUE(until([&] { return requests.size() == 1; }));
-    answer(0, std::string(16 << 20, 'x'));  // more than fits: it is being written
+    respond(0, std::string(16 << 20, 'x'));  // exceeds the socket buffers, so writing is not finished
     if (leaves) client->socket.shutdown(tcp::socket::shutdown_send);
     while (!client->delivered()) std::this_thread::yield();
     ASSERT_TRUE(until([&] { return client->read().size() > 16u << 20; }));
@@ -324,18 +327,18 @@
       ASSERT_TRUE(until([&] { return requests.size() == 2; }));
     }
     EXPECT_EQ(requests.size(), leaves ? 1u : 2u);
-    EXPECT_TRUE(left.empty()) << "it was never taken";
+    EXPECT_TRUE(disconnected.empty()) << "the second request was not handed over";
   }
 }
 
-// A client that goes away at each byte of its request, or of its answer, is told once at most and leaves
-// nothing behind.
-TEST_F(ServerTest, AClientMayGoAtAnyByteOfItsRequestAndOfItsAnswer) {
+// A client disconnects after any byte of its request, or while its response is written: the disconnect is
+// reported once at most, and the connection is closed.
+TEST_F(ServerTest, ClientMayDisconnectAtAnyByteOfItsRequestOrResponse) {
   for (const bool reset : {true, false})
     for (std::size_t bytes = 0; bytes <= kRequest.size(); ++bytes) {
       SCOPED_TRACE(std::to_string(bytes) + (reset ? " reset" : " closed"));
       start();
-      left.clear();
+      disconnected.clear();
       auto client = connect();
       if (bytes > 0) client->send(kRequest.substr(0, bytes));
       ASSERT_TRUE(until([&] { return server->connections() == 1; }));
@@ -344,23 +347,23 @@
       if (reset) client->socket.set_option(asio::socket_base::linger(true, 0));
       client->socket.close();
       ASSERT_TRUE(until([&] { return server->connections() == 0; }));
-      EXPECT_EQ(left.size(), whole ? 1u : 0u);
-      if (whole) answer(0);  // of nobody any more
+      EXPECT_EQ(disconnected.size(), whole ? 1u : 0u);
+      if (whole) respond(0);  // has no effect, the client has disconnected
       EXPECT_EQ(requests.size(), whole ? 1u : 0u);
     }
   for (const std::size_t size : {std::size_t{1}, std::size_t{100}, std::size_t{16} << 20})
     for (const bool reset : {true, false}) {
       SCOPED_TRACE(std::to_string(size) + (reset ? " reset" : " closed"));
       start();
-      left.clear();
+      disconnected.clear();
       auto client = connect();
       client->send(kRequest);
       ASSERT_TRUE(until([&] { return requests.size() == 1; }));
-      answer(0, std::string(size, 'x'));
+      respond(0, std::string(size, 'x'));
       if (reset) client->socket.set_option(asio::socket_base::linger(true, 0));
       client->socket.close();
       ASSERT_TRUE(until([&] { return server->connections() == 0; }));
-      EXPECT_TRUE(left.empty()) << "it had its answer";
+      EXPECT_TRUE(disconnected.empty()) << "the request was answered";
     }
 }
 
--- a/tests/http/upstream_test.cpp
+++ b/tests/http/upstream_test.cpp
@@ -1,5 +1,5 @@
-// Answers of hosts over real sockets, cut at each byte or without an end: what an attempt ends as, and how
-// much is read before it does.
+// Responses of endpoints over real sockets, truncated at each byte or endless: the outcome of the attempt,
+// and how much is read until it ends.
 #include "http/upstream.hpp"
 
 #include <gtest/gtest.h>
@@ -18,37 +18,37 @@
 
 class HttpUpstreamTest : public LoopTest {
  protected:
-  std::unique_ptr<HttpUpstream> pool;
-  std::deque<AttemptOutcome> ends;
+  std::unique_ptr<HttpUpstream> upstream;
+  std::deque<AttemptOutcome> outcomes;
   Call call;
-  CallId last = 0;
+  CallId lastCallId = 0;
 
-  void make(const tcp::endpoint& host) {
+  void makeUpstream(const tcp::endpoint& peer) {
     HttpUpstream::Limits limits;
     limits.connectTimeout = 60s;
-    pool = std::make_unique<HttpUpstream>(io, limits,
-                                          [this](AttemptOutcome end) { ends.push_back(std::move(end)); });
-    pool->updateEndpoint(1, host, true);
+    upstream = std::make_unique<HttpUpstream>(
+        io, limits, [this](AttemptOutcome outcome) { outcomes.push_back(std::move(outcome)); });
+    upstream->updateEndpoint(1, peer, true);
   }
-  AttemptOutcome ask() {
+  AttemptOutcome runAttempt() {
     call = {};
-    call.externalId = "c" + std::to_string(++last);
+    call.externalId = "c" + std::to_string(++lastCallId);
     call.message.target = "/read";
-    pool->start({last, 0}, 1, call, Duration(60s));
-    EXPECT_TRUE(until([&] { return !ends.empty(); }));
-    if (ends.empty()) return {};
-    AttemptOutcome e = std::move(ends.front());
-    ends.pop_front();
+    upstream->start({lastCallId, 0}, 1, call, Duration(60s));
+    EXPECT_TRUE(until([&] { return !outcomes.empty(); }));
+    if (outcomes.empty()) return {};
+    AttemptOutcome e = std::move(outcomes.front());
+    outcomes.pop_front();
     return e;
   }
 };
 
-struct Framed {
+struct FramedResponse {
   const char* name;
   std::string text;
-  bool endsByItself;  // its end is told within it
+  bool endsByItself;  // framed by a length or chunks, not by the end of the connection
 };
-const std::vector<Framed> kAnswers = {
+const std::vector<FramedResponse> kResponses = {
     {"length", answerText(200, "X-Load: TEXT queue=2\r\n", "body"), true},
     {"nothing", answerText(200, "", ""), true},
     {"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nbod\r\n1\r\ny\r\n0\r\n\r\n", true},
@@ -56,79 +56,85 @@
     {"interim", "HTTP/1.1 103 X\r\nA: b\r\n\r\n" + answerText(200, "", "body"), true},
     {"neither", "HTTP/1.1 200 OK\r\nX: y\r\n\r\nbody", false}};
 
-// An endpoint dies or its connection breaks in the middle of an answer. Only an orderly end of the connection
-// ends an answer without a length, and a reset is none.
-TEST_F(HttpUpstreamTest, AnAnswerThatIsCutOffAtAnyByteIsNoneUnlessItsEndIsKnown) {
-  for (const Framed& answer : kAnswers)
+// An endpoint crashes or its connection breaks in the middle of a response. Only an orderly close of the
+// connection completes a response without a length; a reset does not.
+TEST_F(HttpUpstreamTest, TruncatedResponseIsServedOnlyIfItsEndIsKnown) {
+  for (const FramedResponse& response : kResponses)
     for (const bool reset : {false, true})
-      for (std::size_t bytes = 0; bytes <= answer.text.size(); ++bytes) {
-        SCOPED_TRACE(std::string(answer.name) + (reset ? " reset" : " closed") + " after " +
+      for (std::size_t bytes = 0; bytes <= response.text.size(); ++bytes) {
+        SCOPED_TRACE(std::string(response.name) + (reset ? " reset" : " closed") + " after " +
                      std::to_string(bytes));
-        Peer host(io, [&](PeerConnection& c) {
-          const std::string part = answer.text.substr(0, bytes);
+        Peer peer(io, [&](PeerConnection& c) {
+          const std::string part = response.text.substr(0, bytes);
           if (reset) c.replyThenReset(part);
           else c.reply(part, true);
         });
-        make(host.endpoint);
-        const AttemptOutcome e = ask();
-        const std::size_t head = answer.text.find("\r\n\r\n") + 4;
-        const bool whole = answer.endsByItself ? bytes == answer.text.size() : !reset && bytes >= head;
+        makeUpstream(peer.endpoint);
+        const AttemptOutcome e = runAttempt();
+        const std::size_t head = response.text.find("\r\n\r\n") + 4;
+        const bool whole = response.endsByItself ? bytes == response.text.size() : !reset && bytes >= head;
         if (!reset) {
           EXPECT_EQ(e.outcome, whole ? Outcome::served : Outcome::reset);
         } else if (!whole) {
-          // The reset may overtake what came before it, never the other way round.
+          // The reset may discard bytes that arrived before it, so a complete response may end either way. An
+          // incomplete one must not be served.
           EXPECT_EQ(e.outcome, Outcome::reset);
         }
         if (e.outcome == Outcome::served) {
-          const std::string body = answer.endsByItself ? (answer.name == std::string("nothing") ? "" : "body")
-                                                       : answer.text.substr(head, bytes - head);
+          const std::string body = response.endsByItself
+                                       ? (response.name == std::string("nothing") ? "" : "body")
+                                       : response.text.substr(head, bytes - head);
           EXPECT_EQ(e.response.body, body);
         }
       }
 }
 
-// An endpoint that never stops sending: in each part of an answer it is left after a bounded number of bytes.
-TEST_F(HttpUpstreamTest, AnAnswerWithoutAnEndIsLeftAfterABoundedNumberOfBytes) {
-  struct Endless {
+// An endpoint that never stops sending, in any part of a response: the attempt ends and the connection is
+// closed after a bounded number of bytes.
+TEST_F(HttpUpstreamTest, EndlessResponseEndsAfterABoundedNumberOfBytes) {
+  struct EndlessResponse {
     const char* name;
     std::string begin, more;
-    std::size_t most;  // bytes that are read, with what the system holds on the way
+    std::size_t maxRead;  // bytes read by the upstream, without those in the kernel's buffers
   };
-  const std::size_t onTheWay = 16 << 20;
-  const std::vector<Endless> all = {
+  const std::size_t kernelBuffers = 16 << 20;
+  const std::vector<EndlessResponse> all = {
       {"head", "HTTP/1.1 200 OK\r\n", "X: y\r\n", kHeaderLimit},
       {"line", "HTTP/1.1 200 OK\r\nX: ", "yyyy", kHeaderLimit},
       {"interim", "", "HTTP/1.1 103 X\r\n\r\n", kHeaderLimit},
-      {"body by length", "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n", "xxxx", kMaxBufferedResponseBytes},
+      {"body by length", "HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n", "xxxx",
+       kMaxBufferedResponseBytes},
       {"body by its end", "HTTP/1.1 200 OK\r\n\r\n", "xxxx", kMaxBufferedResponseBytes},
-      {"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "4\r\nxxxx\r\n", 2 * kMaxBufferedResponseBytes},
-      {"chunk head", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;", "xxxx", 2 * kMaxBufferedResponseBytes},
+      {"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "4\r\nxxxx\r\n",
+       2 * kMaxBufferedResponseBytes},
+      {"chunk head", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;", "xxxx",
+       2 * kMaxBufferedResponseBytes},
       {"trailers", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n", "X: y\r\n",
        2 * kMaxBufferedResponseBytes},
       {"trailer", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\nX: ", "yyyy",
        2 * kMaxBufferedResponseBytes}};
-  for (const Endless& answer : all) {
-    SCOPED_TRACE(answer.name);
+  for (const EndlessResponse& response : all) {
+    SCOPED_TRACE(response.name);
     std::string more;
-    while (more.size() < 60000) more += answer.more;
+    while (more.size() < 60000) more += response.more;
     std::size_t sent = 0;
-    Peer host(io, [&](PeerConnection& c) {
+    Peer peer(io, [&](PeerConnection& c) {
       c.then([&, from = c.weak_from_this()] {
         const auto to = from.lock();
-        if (!to || to->closedByPeer || sent > 2 * onTheWay) return;
+        if (!to || to->closedByPeer || sent > 2 * kernelBuffers) return;
         sent += more.size();
         to->reply(more);
       });
-      c.reply(answer.begin + more);
+      c.reply(response.begin + more);
     });
-    make(host.endpoint);
-    const AttemptOutcome e = ask();
+    makeUpstream(peer.endpoint);
+    const AttemptOutcome e = runAttempt();
     EXPECT_EQ(e.outcome, Outcome::error);
     EXPECT_EQ(e.failureReason, FailureReason::malformedResponse);
-    EXPECT_LT(sent, answer.most + onTheWay);
-    EXPECT_EQ(pool->connectionCount(), 0u);
-    ASSERT_TRUE(until([&] { return host.connections.front()->closedByPeer; }));
-    host.connections.front()->then(nullptr);
+    EXPECT_LT(sent, response.maxRead + kernelBuffers);
+    EXPECT_EQ(upstream->connectionCount(), 0u);
+    ASSERT_TRUE(until([&] { return peer.connections.front()->closedByPeer; }));
+    peer.connections.front()->then(nullptr);
   }
 }
 
--- a/tests/net_peers.hpp
+++ b/tests/net_peers.hpp
@@ -63,7 +63,7 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// A test with an event loop that waits for what it expects.
+// A test with an event loop. until() runs it until the predicate is true, and fails after kPatience.
 class LoopTest : public ::testing::Test {
  protected:
   asio::io_context io;
@@ -107,7 +107,8 @@
                         if (thenClose) self->close();
                       });
   }
-  void then(std::function<void()> written) { then_ = std::move(written); }  // called when a reply is written
+  // `written` is called after each reply is written.
+  void then(std::function<void()> written) { then_ = std::move(written); }
   void close() {
     open = false;
     error_code ignored;
@@ -140,7 +141,8 @@
   std::function<void()> then_;
 };
 
-class Peer {  // a server with a script
+// A server on loopback that runs the script for each request.
+class Peer {
  public:
   Peer(asio::io_context& io, PeerConnection::Script s) : script(std::move(s)), acceptor_(io, loopback()) {
     endpoint = acceptor_.local_endpoint();
@@ -171,8 +173,8 @@
   tcp::acceptor acceptor_;
 };
 
-// Discovery: responds to polls and to a watch's first request at once, and holds further watches until a list
-// is pushed.
+// Discovery service: responds at once to polls and to the first request of a watch; further watch requests
+// are answered when push() publishes a change.
 class FakeDiscovery {
  public:
   explicit FakeDiscovery(asio::io_context& io) : peer(io, [this](PeerConnection& c) { asked(c); }) {}
@@ -201,7 +203,7 @@
   }
 };
 
-// A client's connection. Sends any text; keeps the responses.
+// A connection of a client: sends any text and stores the responses.
 class Client : public std::enable_shared_from_this<Client> {
  public:
   static std::shared_ptr<Client> connect(asio::io_context& io, const tcp::endpoint& to) {
--- a/tests/raw_peers.hpp
+++ b/tests/raw_peers.hpp
@@ -1,5 +1,5 @@
-// Hosts of any protocol on loopback, in bytes: some whose connections don't come up until they are told to
-// take them, some that don't read what they are sent.
+// Endpoints on loopback that handle raw bytes, for tests of any protocol: one to which connections are not
+// established until it starts to accept, and one that does not read until readAll().
 #pragma once
 
 #include <array>
@@ -8,7 +8,7 @@
 
 namespace cairnjunction::testing {
 
-// A connection that keeps the bytes that come.
+// An accepted connection that stores all received bytes.
 class RawConnection : public std::enable_shared_from_this<RawConnection> {
  public:
   explicit RawConnection(tcp::socket socket) : socket_(std::move(socket)) {}
@@ -43,7 +43,8 @@
   std::array<char, 65536> chunk_;
 };
 
-// Takes connections only once it is told to. Its queue is full before, so that further ones don't come up.
+// Accepts connections only after acceptAll() or takeAll(). Until then its backlog is full (`filled` > 0 once
+// it is), so that further connections are not established.
 class FullListener {
  public:
   explicit FullListener(asio::io_context& io) : acceptor_(io) {
@@ -67,7 +68,7 @@
       acceptAll();
     });
   }
-  // Of all connections, in bytes.
+  // Bytes received on all connections.
   std::size_t received() const {
     std::size_t n = 0;
     for (const auto& connection : taken) n += connection->received;
@@ -77,7 +78,7 @@
     return std::all_of(taken.begin(), taken.end(), [](const auto& c) { return c->closedByPeer; });
   }
   void dropFillers() { fillers_.clear(); }
-  // From now on whoever waited is let in; what comes of them is seen once they have left again.
+  // Accepts the pending connections from now on. What they sent is complete once allLeft() returns true.
   void takeAll() {
     acceptAll();
     dropFillers();
@@ -93,7 +94,8 @@
   std::vector<std::unique_ptr<tcp::socket>> fillers_;
 };
 
-// Takes connections and reads nothing till it is told to, with so little room that a large text does not fit.
+// Accepts connections but reads nothing until readAll(). Its receive buffer is so small that a large text
+// does not fit.
 class DeafListener {
  public:
   explicit DeafListener(asio::io_context& io) : acceptor_(io) {
@@ -125,7 +127,7 @@
   tcp::acceptor acceptor_;
 };
 
-// More than the system takes in for a peer that does not read.
+// Bytes: more than the kernel buffers for a peer that does not read.
 inline constexpr std::size_t kMoreThanFits = 24 << 20;
 
 }  // namespace cairnjunction::testing
