--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -39,8 +39,7 @@
 // Which takes precedence if both a variable and the file's entry are set.
 enum class Reading {
   atStart,  // the variable
-  again  // the file's entry: a running process keeps the variables that it was started with, so the file is
-         // newer
+  again     // the file's entry: a running process keeps the variables from its start, so the file is newer
 };
 
 // Reads the file whose path is in GW_CONFIG. Throws BadConfig.
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -105,8 +105,7 @@
       "edge_gw.reload_success=1\nedge_gw.reload_failure=4\n");
 }
 
-// --- The admin server of a gateway
-// ---------------------------------------------------------------------------------------
+// --- The admin server of a gateway ----------------------------------------------------------------------
 
 class GatewayAdminTest : public LoopTest {
  protected:
