--- a/src/lease/enum_names.cpp
+++ b/src/lease/enum_names.cpp
@@ -15,13 +15,14 @@
   return "";
 }
 
+// Coordinators send these texts to members that they reject, so they stay as they are.
 std::string_view nameOf(RejectionReason reason) {
   switch (reason) {
     case RejectionReason::none: return "none";
-    case RejectionReason::alreadyHeld: return "the lease is already held";
-    case RejectionReason::notHolder: return "not the lease holder";
-    case RejectionReason::staleIncarnation: return "another process has joined under this member's name";
-    case RejectionReason::tableFull: return "the lease table is full";
+    case RejectionReason::alreadyHeld: return "held by another member";
+    case RejectionReason::notHolder: return "not its owner";
+    case RejectionReason::staleIncarnation: return "another process has this member's name";
+    case RejectionReason::tableFull: return "no room";
     case RejectionReason::invalid: return "nonsense";
   }
   return "";
